--- a/crates/leverproxy/benches/probe_cost.rs
+++ b/crates/leverproxy/benches/probe_cost.rs
@@ -1,4 +1,4 @@
-//! What a balancer's check costs the proxy, and what checks do to clients' latency.
+//! CPU time that a balancer's health check costs the proxy, and the effect of checks on the latency of clients.
 //!
 //! `cargo bench -p leverproxy --bench probe_cost`
 
@@ -18,7 +18,7 @@
 const CHECKS: u32 = 20_000;
 const ROUND_DURATION: Duration = Duration::from_secs(4);
 const ROUNDS: usize = 3;
-/// Checks a second that run beside the clients.
+/// Rate of the checks during the rounds with checks.
 const CHECKS_PER_SECOND: u64 = 500;
 
 fn unused_address() -> SocketAddr {
@@ -71,7 +71,7 @@
     let mut watch = discovery.accept();
     watch.accept_watch();
 
-    // The record server answers at once, on as many connections as come.
+    // The record server answers at once, on any number of connections.
     thread::spawn(move || loop {
         let Some(mut peer) = server.try_accept() else {
             thread::sleep(Duration::from_millis(1));
@@ -89,7 +89,7 @@
         });
     });
 
-    // CPU a check, each on a connection of its own, and on a connection that is kept.
+    // CPU time for each check: agent checks on a new connection each, HTTP checks on one kept connection.
     let before = cpu_time(&child);
     (0..CHECKS).for_each(|_| agent_check(agent_at));
     let agents = cpu_time(&child) - before;
@@ -109,7 +109,7 @@
         each(web)
     );
 
-    // Clients' latency with and without checks, in turn.
+    // Latency of clients, in alternate rounds without and with checks.
     let mut client = Peer::client(listen);
     let mut id = 0;
     for round in 0..ROUNDS {
--- a/crates/leverproxy/tests/balancers.rs
+++ b/crates/leverproxy/tests/balancers.rs
@@ -135,7 +135,11 @@
         }
         status(web, "/readyz/group/3") == 503
     });
-    assert_eq!(status(web, "/readyz"), 200, "the proxy must stay ready for other groups");
+    assert_eq!(
+        status(web, "/readyz"),
+        200,
+        "the proxy must stay ready for other groups"
+    );
     let reply = agent::read(&agent_check(agent));
     assert_eq!(
         (reply.administrative, reply.operational),
@@ -468,7 +472,9 @@
     program.wait_for_log_line("the configuration is reread");
     assert_eq!(agent_check(port), "ready up 100%\n");
     program.signal(Signal::TERM);
-    wait_until("the program ends", || program.child.try_wait().unwrap().is_some());
+    wait_until("the program ends", || {
+        program.child.try_wait().unwrap().is_some()
+    });
 }
 
 /// Built with the feature `grpc`, the program speaks HTTP/2 on a gRPC health listener. Built without it, the program reports
--- a/crates/leverproxy/tests/closing.rs
+++ b/crates/leverproxy/tests/closing.rs
@@ -120,7 +120,10 @@
     });
     let mut client = Peer::client(test_proxy.address);
     test_proxy.control.stop();
-    assert!(client.message().is_err(), "the connection must end without a message");
+    assert!(
+        client.message().is_err(),
+        "the connection must end without a message"
+    );
     drop(client);
     test_proxy.end();
 }
@@ -189,7 +192,10 @@
     drop(other);
     let started_at = Instant::now();
     while TcpStream::connect(test_proxy.address).is_err() {
-        assert!(started_at.elapsed() < TEST_TIMEOUT, "the proxy does not listen again");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "the proxy does not listen again"
+        );
         thread::yield_now();
     }
     Peer::client(test_proxy.address);
@@ -475,9 +481,19 @@
     let mut idle = idle_client(&test_proxy, &server);
     stop(&test_proxy, &mut idle);
     idle.ask(&read_statement(1, "any", 19000));
-    assert_eq!(idle.stream.read(&mut [0; 1]).unwrap(), 0, "the connection must stay closed");
-    assert!(idle.stream.take_error().unwrap().is_none(), "the connection must not be reset");
-    assert!(server.try_accept().is_none(), "the request must not reach a server");
+    assert_eq!(
+        idle.stream.read(&mut [0; 1]).unwrap(),
+        0,
+        "the connection must stay closed"
+    );
+    assert!(
+        idle.stream.take_error().unwrap().is_none(),
+        "the connection must not be reset"
+    );
+    assert!(
+        server.try_accept().is_none(),
+        "the request must not reach a server"
+    );
     drop(idle);
     test_proxy.end();
 }
--- a/crates/leverproxy/tests/common/mod.rs
+++ b/crates/leverproxy/tests/common/mod.rs
@@ -394,7 +394,10 @@
 pub fn wait_for_metric(admin: SocketAddr, line: &str) {
     let started_at = std::time::Instant::now();
     while !get(admin, "/api/telemetry").1.lines().any(|l| l == line) {
-        assert!(started_at.elapsed() < TEST_TIMEOUT, "{line} is not among the metrics");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "{line} is not among the metrics"
+        );
         thread::yield_now();
     }
 }
--- a/crates/leverproxy/tests/discovery.rs
+++ b/crates/leverproxy/tests/discovery.rs
@@ -159,7 +159,11 @@
         assert_eq!(parts, []);
         assert_eq!(reader.parse(text.as_bytes(), &mut parts), Ok(text.len()));
     }
-    assert_eq!(parts, [Part::Object(whole)], "the list must be parsed before the next one is complete");
+    assert_eq!(
+        parts,
+        [Part::Object(whole)],
+        "the list must be parsed before the next one is complete"
+    );
     let mut test_proxy = TestProxy::new(&[]);
     let mut peer = restart_watch(&mut test_proxy, 41);
     let drain = list(58, false, &[server.endpoint_entry("s-1", "Terminating")]);
@@ -177,7 +181,10 @@
     );
     peer.write(text.as_bytes());
     let (mut peer, after) = accept_call(&test_proxy.discovery);
-    assert_eq!(after, 59, "the list before a malformed chunk must be applied");
+    assert_eq!(
+        after, 59,
+        "the list before a malformed chunk must be applied"
+    );
     let text = format!("{}{{\"index\":\"soon\"}}", list(60, false, &[]));
     peer.write(Framing::NoLength.answer(&text, 0).as_bytes());
     assert_eq!(
@@ -453,7 +460,10 @@
 
     fn address(&mut self) -> SocketAddr {
         let line = loop {
-            let line = self.log.recv_timeout(TEST_TIMEOUT).expect("the proxy does not serve");
+            let line = self
+                .log
+                .recv_timeout(TEST_TIMEOUT)
+                .expect("the proxy does not serve");
             if line.contains("serving on ") {
                 break line;
             }
--- a/crates/leverproxy/tests/end_to_end.rs
+++ b/crates/leverproxy/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! A real proxy over loopback, between scripted clients, record servers and discovery.
+//! End-to-end tests: a real proxy on loopback between scripted clients, record servers and discovery.
 
 mod common;
 use common::{answer, read_statement, Listener, Peer, Program, Reply, TestProxy, TEST_TIMEOUT};
@@ -14,19 +14,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The statement and its id reach the server unchanged, `d` states the time that is left, and the client gets the server's
-/// value unchanged.
+/// The statement and its id reach the server unchanged, except that `d` states the remaining time. The client gets the
+/// server's value unchanged.
 #[test]
 fn a_read_is_answered_as_the_server_answered_it() {
     let server = Listener::new();
     let test_proxy = TestProxy::new(&[("s-1", &server)]);
-    // The first query comes right behind the startup.
+    // The client sends the first query together with the startup message.
     let mut client = Peer::connect(test_proxy.address);
     client.write(&leverproxy::protocol::postgres::server::startup_packet(
         "app", "shop",
     ));
     client.ask(&read_statement(1, "any", 19000));
-    assert_eq!(client.reply(), Reply::default(), "the welcome");
+    assert_eq!(client.reply(), Reply::default(), "the greeting");
     let mut upstream = server.accept_session();
     let passed = upstream.query();
     let wait = passed
@@ -59,7 +59,7 @@
     }
 }
 
-/// The largest values pass in both directions unchanged, in as many parts as the sockets take.
+/// The largest values pass unchanged in both directions, in whatever parts the sockets accept.
 #[test]
 fn the_largest_values_pass_unchanged() {
     let server = Listener::new();
@@ -84,19 +84,19 @@
         passed.len(),
         insert(wait).len()
     );
-    // As long as some that record servers were seen to give.
+    // As long as values that real record servers have returned.
     let value = "v".repeat(400 << 10);
     upstream.answer(&value, &[]);
     assert!(client.reply().value == Some(value));
 }
 
-/// Answers on a connection come in the order of its commands, in whatever order servers gave them.
+/// Responses on a connection keep the order of its commands, whatever the order in which the servers respond.
 #[test]
 fn pipelined_queries_are_answered_in_order() {
     let server = Listener::new();
     let test_proxy = TestProxy::new(&[("s-1", &server)]);
     let mut client = Peer::client(test_proxy.address);
-    // The second is not understood and is answered while the first is still out.
+    // The second command is invalid, and is answered while the first one is in flight.
     client.ask(&read_statement(1, "any", 19000));
     client.ask(&read_statement(2, "unheard-of", 19000));
     let mut upstream = server.accept_session();
@@ -117,7 +117,7 @@
     (test_proxy, client, upstream)
 }
 
-/// A server's connection breaks after the last byte of a write. The write may have run: it fails, and is not sent again.
+/// A server's connection breaks after the last byte of a write. The write may have run, so it fails and is not retried.
 #[test]
 fn a_write_that_may_have_run_is_not_retried() {
     let server = Listener::new();
@@ -133,7 +133,7 @@
     assert!(server.no_connection_within(Duration::from_millis(100)));
 }
 
-/// A server has closed a pooled connection. That is noticed before a write goes out on it.
+/// The proxy notices that a server has closed a pooled connection before it sends a write on it.
 #[test]
 fn a_write_does_not_go_out_on_a_stale_connection() {
     let server = Listener::new();
@@ -148,15 +148,15 @@
     assert_eq!(client.reply().value.as_deref(), Some("two"));
 }
 
-/// A server answers the startup message with an error, whatever its code. No request can have run on that connection, so
-/// even a write is retried.
+/// A server answers the startup message with an error of any code. No request can have run on that connection, so even a
+/// write is retried.
 #[test]
 fn a_rejected_connection_proves_that_nothing_ran() {
     let server = Listener::new();
     let (_test_proxy, mut client, mut upstream) = write_in_flight(&server);
     upstream.answer("one", &[("role", "primary")]);
     assert_eq!(client.reply().value.as_deref(), Some("one"));
-    // The second write has to dial.
+    // The second write needs a new connection.
     upstream.close_and_wait();
     client.ask(&read_statement(2, "book", 19000));
     server.accept().error("XX000");
@@ -166,14 +166,14 @@
     assert_eq!(client.reply().value.as_deref(), Some("two"));
 }
 
-/// Discovery says that a server drains. Attempts that still wait for a connection to it are cancelled.
+/// Discovery reports that a server drains. Attempts that still wait for a connection to it are cancelled.
 #[test]
 fn a_drain_cancels_attempts_that_are_not_written_yet() {
     let (first, second) = (Listener::new(), Listener::new());
     let mut test_proxy = TestProxy::new(&[("s-1", &first)]);
     let mut client = Peer::client(test_proxy.address);
     client.ask(&read_statement(1, "any", 19000));
-    // Accepted but not welcomed: the query waits.
+    // The connection is accepted but its startup is not answered, so the query waits.
     let mut dialled = first.accept();
     test_proxy.watch.send_list(
         42,
@@ -186,11 +186,11 @@
     upstream.query();
     upstream.answer("moved", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("moved"));
-    assert!(dialled.ended(), "the dial is called off");
+    assert!(dialled.ended(), "the dial must be cancelled");
 }
 
-/// The watch on discovery is cut off in such a way that its connection stays open and silent. It is replaced, and the new
-/// watch continues from the same index.
+/// The connection of the watch on discovery stays open, but nothing arrives on it any more. The watch is replaced, and the
+/// new one continues from the same index.
 #[test]
 fn a_silent_watch_is_replaced() {
     let server = Listener::new();
@@ -206,14 +206,13 @@
         "GET /catalog/members?watch=1&after=57 HTTP/1.1"
     );
     assert!(test_proxy.watch.ended());
-    // What is no list breaks the watch too, and the proxy lives on.
+    // Invalid JSON also ends the watch, and the proxy keeps running.
     again.write(b"5\r\n{\"in\n\r\n");
     assert!(again.ended());
     test_proxy.discovery.accept().accept_watch();
 }
 
-/// Discovery sends a list that is indented over many lines: it is applied. It sends one that comes byte by byte without end:
-/// the watch is replaced.
+/// A list that is indented over many lines is applied. A watch on which a list arrives byte by byte without end is replaced.
 #[test]
 fn an_indented_list_is_applied_and_an_endless_one_is_replaced() {
     let server = Listener::new();
@@ -231,7 +230,7 @@
     }
     let mut client = Peer::client(test_proxy.address);
     common::serve_request(&mut client, &server, 1, "listed");
-    // A blank in the middle of an object, again and again, is no sign of life.
+    // Repeated white space inside an object does not count as a keepalive.
     let mut trickle = test_proxy.watch.stream.try_clone().unwrap();
     thread::spawn(move || {
         while trickle.write_all(b"2\r\n{ \r\n1\r\n \r\n").is_ok() {
@@ -244,7 +243,7 @@
     );
 }
 
-/// Where discovery pushes lists, the watch is opened at the start without an order of the decision module, and again as soon
+/// Where discovery pushes lists, the watch is opened at the start without a request of the decision module, and again as soon
 /// as it has ended.
 #[test]
 fn a_pushed_list_is_watched_from_the_start() {
@@ -266,8 +265,8 @@
     );
 }
 
-/// A server sends something that is no answer. The attempt fails and the connection ends at once, not at the time-out, even
-/// where only half of an answer comes. A read is retried, a write is not.
+/// A server sends an invalid response, or the start of one. The attempt fails and its connection is closed at once rather
+/// than at the timeout. A read is retried, a write is not.
 #[test]
 fn an_invalid_answer_reaches_no_client() {
     let server = Listener::new();
@@ -288,8 +287,8 @@
     assert_eq!(client.reply().value.as_deref(), Some("good"));
 }
 
-/// A server sends more than one answer. The first counts; the connection ends, so that the rest is never taken for the answer
-/// to another request.
+/// A server sends more bytes than one response. The first response is used, and the connection is closed, so that the rest is
+/// never taken for the response to another request.
 #[test]
 fn a_connection_with_bytes_behind_its_answer_is_not_used_again() {
     let server = Listener::new();
@@ -305,7 +304,7 @@
     }
 }
 
-/// A server takes a request and sends nothing. The client is refused in time, with the time to retry after.
+/// A server reads a request and sends nothing. The client is rejected before its deadline, with the time to retry after.
 #[test]
 fn a_silent_server_does_not_hold_its_client_past_the_deadline() {
     let server = Listener::new();
@@ -319,10 +318,10 @@
     assert_eq!(reply.code.as_deref(), Some("53300"));
     assert!(reply.detail.unwrap().parse::<u32>().unwrap() > 0);
     assert!(asked.elapsed() < TEST_TIMEOUT);
-    assert!(upstream.ended(), "a time-out closes the connection");
+    assert!(upstream.ended(), "a timeout must close the connection");
 }
 
-/// Nothing that a client sends ends the proxy. Each malformed message or statement gets an error of its own.
+/// No input of a client ends the proxy. Each malformed message or statement gets an error.
 #[test]
 fn malformed_input_is_answered_with_an_error() {
     let server = Listener::new();
@@ -357,13 +356,13 @@
     assert_eq!(
         client.reply().code.as_deref(),
         Some("08P01"),
-        "an oversized length"
+        "a length over the limit must be rejected"
     );
     assert!(client.ended());
 }
 
-/// Clients that send no request, or only a part of one, get an error after their time and are disconnected. An idle client
-/// that has sent a request is not.
+/// Clients that send no request, or only a part of one, get an error after their time limit and are disconnected. An idle
+/// client that has sent a complete request stays connected.
 #[test]
 fn clients_without_a_complete_request_are_rejected() {
     let server = Listener::new();
@@ -390,8 +389,8 @@
     assert_eq!(usual.reply().value.as_deref(), Some("two"));
 }
 
-/// Clients that send one request and stay would use up the connections. While there are many clients, they are closed first,
-/// and clients that send requests again and again stay. While hardly any connection is left, they are closed at once.
+/// Clients that send one request and stay connected would use up the connections. Among many clients they are closed first,
+/// and clients that keep sending requests stay. When hardly any connection is free, they are closed at once.
 #[test]
 fn clients_that_send_one_request_and_stay_are_closed_among_many() {
     let server = Listener::new();
@@ -421,8 +420,8 @@
     }
 }
 
-/// A client is rejected while it is still sending. Closed with bytes unread, its connection would be reset and the error lost
-/// on its way: the proxy reads and discards them first.
+/// A client is rejected while it is still sending. Closing its connection with unread bytes would reset it and could lose the
+/// error in transit, so the proxy reads and discards them first.
 #[test]
 fn an_error_reaches_a_client_that_is_still_sending() {
     let test_proxy = TestProxy::new(&[]);
@@ -433,8 +432,8 @@
     assert!(client.ended());
 }
 
-/// Many clients begin large commands and end none. Each is within its limit; when all of them together are not, one is
-/// rejected.
+/// Many clients send incomplete large commands. Each is within its own limit; when their sum exceeds the limit for all, one of
+/// them is rejected.
 #[test]
 fn incomplete_commands_together_stay_within_the_memory() {
     let test_proxy = TestProxy::with_config(&[], |config| config.limits.unfinished = 200_000);
@@ -450,8 +449,8 @@
     assert!(codes.iter().any(|code| code == "53200"), "{codes:?}");
 }
 
-/// Connections without a request fill all places. They give way to a new client, and a client that has sent requests before
-/// keeps its place.
+/// Connections without a request use up the limit of clients. They are closed in favour of a new client, and a client that
+/// has sent requests before stays connected.
 #[test]
 fn a_crowd_of_silent_clients_does_not_block_others() {
     let server = Listener::new();
@@ -473,8 +472,8 @@
     }
 }
 
-/// A client sends a request with the id of another client's open request. Servers would take the two for one, and give one
-/// client the answer of the other: the second request is rejected.
+/// A client sends a request with the id of another client's open request. Servers would treat the two as one, and one client
+/// would get the response of the other, so the second request is rejected.
 #[test]
 fn a_request_with_the_id_of_another_is_rejected() {
     let server = Listener::new();
@@ -490,13 +489,16 @@
     assert_eq!(second.reply().code.as_deref(), Some("42601"));
     upstream.answer("one", &[]);
     assert_eq!(first.reply().value.as_deref(), Some("one"));
-    // Nor is it accepted once the first has been answered.
+    // The id is also rejected after the first request has been answered.
     second.ask(&read_statement(1, "any", 19000));
     assert_eq!(second.reply().code.as_deref(), Some("42601"));
-    assert!(server.try_accept().is_none(), "nothing more was sent");
+    assert!(
+        server.try_accept().is_none(),
+        "no further request must reach the server"
+    );
 }
 
-/// Told to stop, the proxy still accepts clients for a while, answers every request, closes idle clients and ends.
+/// After a stop the proxy still accepts clients for a while, answers every request, closes idle clients and ends.
 #[test]
 fn a_stop_answers_the_requests_that_have_come() {
     let server = Listener::new();
@@ -514,11 +516,11 @@
     late.ask(&read_statement(2, "any", 19000));
     assert!(
         idle.ended(),
-        "closed between requests, once new connections have stopped coming"
+        "an idle client must be closed once no new connections arrive"
     );
     upstream.answer("busy", &[]);
     assert_eq!(busy.reply().value.as_deref(), Some("busy"));
-    // The late request may have waited for this connection or for another.
+    // The late request may have waited for this connection or for a new one.
     upstream.query();
     upstream.answer("late", &[]);
     assert_eq!(late.reply().value.as_deref(), Some("late"));
@@ -526,8 +528,8 @@
     test_proxy.end();
 }
 
-/// The platform kills a process that does not end in time. Before that the proxy answers the requests that are still open. One
-/// that was never sent gets an answer that says so.
+/// The platform kills a process that does not end in time. Before that the proxy answers the requests that are still open. The
+/// error for a request that was never sent shows that it did not run.
 #[test]
 fn a_stop_answers_every_open_request_before_the_deadline() {
     let server = Listener::new();
@@ -538,7 +540,7 @@
     client.ask(&read_statement(1, "any", 19000));
     let mut upstream = server.accept_session();
     upstream.query();
-    // The primary is not known: this one is queued.
+    // The primary is unknown, so this request is queued.
     let mut untried = Peer::client(test_proxy.address);
     untried.ask(&read_statement(2, "book", 19000));
     let _probed = server.accept_session();
@@ -547,12 +549,13 @@
     assert_eq!(
         untried.reply().code.as_deref(),
         Some("53300"),
-        "nothing of it ran: another proxy may serve it"
+        "a request that did not run must be rejected as retryable"
     );
     test_proxy.end();
 }
 
-/// The proxy is at its limit of clients. A client leaves, and the next one gets its place. An idle client gives way as well.
+/// At the limit of clients, a new client is accepted once another one disconnects. An idle client is also closed in favour of a
+/// new one.
 #[test]
 fn a_client_at_the_limit_is_accepted_once_another_leaves() {
     let server = Listener::new();
@@ -568,13 +571,13 @@
     ));
     drop(first);
     assert_eq!(second.reply(), Reply::default());
-    // An idle connection gives way to one that waits.
+    // The idle client is closed for the one that waits.
     let _third = Peer::client(test_proxy.address);
     assert!(second.ended());
 }
 
-/// More exchanges wait than dials may be open, and the server rejects each dial. Every exchange ends, and none waits for a
-/// dial that nobody makes.
+/// More exchanges wait than dials may be open, and the server rejects each connection. Every exchange must end, and none may
+/// wait for a dial that is never made.
 #[test]
 fn exchanges_over_the_dial_limit_are_dialled_for_later() {
     let server = Listener::new();
@@ -641,7 +644,7 @@
     assert_eq!(upstream.dials, exchanges);
 }
 
-/// SIGUSR1 prints the counters while the program serves, SIGTERM ends it and prints them.
+/// SIGUSR1 logs the counters while the program serves; SIGTERM ends the program and logs them too.
 #[test]
 fn the_program_handles_signals() {
     let mut program = Program::start("");
@@ -654,8 +657,8 @@
     assert!(program.child.wait().unwrap().success());
 }
 
-/// SIGHUP moves the watch to the discovery address of the changed file. The former watch counts until the new one has sent
-/// something. A faulty file changes nothing. Requests and connections stay.
+/// SIGHUP moves the watch to the discovery address of the changed file. Lists from the former watch are applied until the new
+/// one has sent something. A faulty file changes nothing, and requests and connections are kept.
 #[test]
 fn a_reload_moves_the_watch_and_keeps_requests() {
     let (server, elsewhere) = (Listener::new(), Listener::new());
@@ -675,7 +678,7 @@
         watch.accept_watch(),
         "GET /catalog/members?watch=1&after=57 HTTP/1.1"
     );
-    // Still connected: what it sends still counts.
+    // The former watch is still connected, and its lists are applied.
     let later = Listener::new();
     program.watch.send_list(
         58,
@@ -694,14 +697,15 @@
     assert_eq!(second.reply().value.as_deref(), Some("two"));
     upstream.answer("one", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("one"));
-    // A stop in the middle of a reload is a stop.
+    // SIGTERM in the middle of a reload ends the program.
     program.reload("");
     program.signal(Signal::TERM);
     drop((client, second));
     assert!(program.child.wait().unwrap().success());
 }
 
-/// Out of descriptors, the program leaves new clients in the listener's queue. It serves again once others have left.
+/// Out of file descriptors, the program leaves new clients in the listener's queue. It accepts them once others have
+/// disconnected.
 #[test]
 fn the_program_recovers_from_running_out_of_descriptors() {
     let mut program = Program::start("ulimit -n 24;");
--- a/crates/leverproxy/tests/links.rs
+++ b/crates/leverproxy/tests/links.rs
@@ -113,7 +113,10 @@
         }
     };
     let text = step(&mut test_proxy, r#""a place without a name":"cut""#);
-    assert!(text.starts_with("HTTP/1.1 200 OK"), "the proxy must stay ready: {text}");
+    assert!(
+        text.starts_with("HTTP/1.1 200 OK"),
+        "the proxy must stay ready: {text}"
+    );
     assert!(text.contains(r#""a":"up""#), "{text}");
     assert!(
         text.contains(r#""reason":"the link to a place without a name is cut""#),
--- a/crates/leverproxy/tests/system_calls.rs
+++ b/crates/leverproxy/tests/system_calls.rs
@@ -1,5 +1,5 @@
-//! System calls that fail in the ways that Linux documents, under real connections: each request gets its one answer,
-//! the process goes on, and it does not keep itself busy.
+//! System calls that fail in the ways that Linux documents, on real connections: each request gets exactly one response, and
+//! the process keeps running without a busy loop.
 
 mod common;
 use common::{read_statement, Listener, Peer, TestProxy, TEST_TIMEOUT};
@@ -20,7 +20,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// More faults than any test waits for.
+/// The fault is injected until the test clears it.
 const ALWAYS: u64 = u64::MAX;
 
 /// A record server that answers `value` to all reads.
@@ -60,13 +60,13 @@
         self.fault(call, address, Fault::Fail(errno), times);
     }
 
-    /// Waits until so many calls have met a fault.
+    /// Waits until `times` faults have been injected into `call`.
     fn wait_for_faults(&self, call: Call, times: u64) {
         let started_at = Instant::now();
         while self.faults.faults(call) < times {
             assert!(
                 started_at.elapsed() < TEST_TIMEOUT,
-                "{call:?} met {} faults",
+                "only {} faults were injected into {call:?}",
                 self.faults.faults(call)
             );
             thread::yield_now();
@@ -74,7 +74,7 @@
     }
 }
 
-/// A request with an id of its own.
+/// A read with a unique id.
 fn request() -> String {
     static SENT: AtomicU32 = AtomicU32::new(0);
     read_statement(SENT.fetch_add(1, Ordering::Relaxed), "any", 19000)
@@ -241,7 +241,7 @@
         let wait_calls = test_proxy.faults.calls(Call::EpollWait);
         let late = test_proxy.address;
         let late = thread::spawn(move || assert_served(&mut Peer::client(late), "v"));
-        // Rounds with a pause between.
+        // Faults in one round of the event loop; rounds are separated by a pause.
         let per_round = if matches!(errno, Errno::CONNABORTED | Errno::PERM) {
             1024
         } else {
@@ -283,7 +283,7 @@
         .iter_mut()
         .filter_map(|client| ended(client).then_some(()))
         .count();
-    assert!(ended <= 4, "{ended} of 8 were ended");
+    assert!(ended <= 4, "{ended} of 8 clients were closed");
 }
 
 #[test]
@@ -324,7 +324,7 @@
         let mut client = Peer::client(test_proxy.address);
         let wait_calls = test_proxy.faults.calls(Call::EpollWait);
         test_proxy.fail(call, None, errno, 12);
-        // A server that is taken for dead rests for longer than this.
+        // A server in backoff would get no request for longer than this.
         let started_at = Instant::now();
         assert_served(&mut client, "v");
         assert!(test_proxy.faults.faults(call) >= 12, "{call:?} {errno}");
@@ -338,8 +338,8 @@
     }
 }
 
-/// The dial timeout passes before there is a free port, for the other server too. The request is rejected, and neither server
-/// may be put into backoff for it.
+/// No port is free until the dial timeouts of both servers have passed. The request is rejected, and neither server may be put
+/// into backoff for it.
 #[test]
 fn a_shortage_beyond_the_dial_timeout_is_answered_without_backoff() {
     let (first, second) = (Listener::new(), Listener::new());
@@ -364,7 +364,7 @@
     assert_served(&mut client, "v");
     assert!(
         started_at.elapsed() < Duration::from_secs(1),
-        "a server rests: {:?}",
+        "a server is in backoff: {:?}",
         started_at.elapsed()
     );
 }
@@ -424,7 +424,7 @@
     for _ in 0..3 {
         assert_served(&mut client, "value");
     }
-    // The list comes in bytes as well: its new server alone is left.
+    // The next list also arrives byte by byte, and leaves the new server alone.
     let other = Listener::new();
     let gone = r#"{"name":"s-1","status":"Gone","since_ms":0}"#;
     test_proxy
@@ -437,7 +437,10 @@
         if client.reply().value.as_deref() == Some("other") {
             break;
         }
-        assert!(started_at.elapsed() < TEST_TIMEOUT, "the list has not come");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "the list was not applied"
+        );
     }
 }
 
@@ -506,7 +509,7 @@
     for client in &mut clients {
         assert_twenty_served(client, "v");
     }
-    // Each of the ten connections and listeners at most is looked at once a pause.
+    // Each of the at most ten connections and listeners is retried once a pause.
     let (started_at, met) = (Instant::now(), test_proxy.faults.faults(Call::EpollControl));
     let wait_calls = test_proxy.faults.calls(Call::EpollWait);
     test_proxy.wait_for_faults(Call::EpollControl, met + 400);
@@ -516,7 +519,7 @@
         started_at.elapsed()
     );
     let wait_calls = test_proxy.faults.calls(Call::EpollWait) - wait_calls;
-    // A round has a call at least, or a timer that is due: there are fewer than one a millisecond.
+    // Each round has at least one failing call or a due timer, and fewer than one timer a millisecond is due.
     assert!(
         u128::from(wait_calls) <= 400 + started_at.elapsed().as_millis(),
         "{wait_calls} rounds"
@@ -534,7 +537,7 @@
     test_proxy.fail(Call::EpollControl, None, Errno::NOMEM, ALWAYS);
     assert_served(&mut Peer::client(test_proxy.address), "v");
     let started_at = Instant::now();
-    // The listener's own pause is over several times.
+    // Longer than several accept pauses of the listener.
     while started_at.elapsed() < Duration::from_millis(350) {
         test_proxy.wait_for_faults(
             Call::EpollControl,
@@ -597,7 +600,7 @@
     for errno in [Errno::TIMEDOUT, Errno::CONNRESET, Errno::NETDOWN] {
         let (mut test_proxy, _) = test_proxy("v");
         test_proxy.fail(Call::Read, Some(test_proxy.discovery.address), errno, 1);
-        // Nothing has changed; or the head of the answer is what can't be read.
+        // A keepalive, so that there is something to read; the fault may also hit the head of the response.
         _ = test_proxy.watch.stream.write(b"1\r\n\n\r\n");
         let mut again = test_proxy.discovery.accept();
         assert!(
@@ -619,7 +622,7 @@
         let (test_proxy, server) = test_proxy("v");
         let mut client = Peer::client(test_proxy.address);
         assert_served(&mut client, "v");
-        // No dial of the server is due: it has a connection that is free.
+        // The server has an idle connection, so the only dial is that of discovery.
         assert_ne!(server, test_proxy.discovery.address);
         test_proxy.fail(
             call,
@@ -656,7 +659,7 @@
     rustix::net::bind(&backlog, &"127.0.0.1:0".parse::<SocketAddr>().unwrap()).unwrap();
     rustix::net::listen(&backlog, 0).unwrap();
     let silent = listener::local_address(&backlog).unwrap();
-    // Its backlog is full once a connection does not come up any more.
+    // The backlog is full once a further dial times out.
     let mut held = Vec::new();
     while let Ok(stream) = TcpStream::connect_timeout(&silent, Duration::from_millis(200)) {
         held.push(stream);
@@ -704,13 +707,19 @@
     send_command(socket, "drain");
     let started_at = Instant::now();
     while TcpStream::connect(test_proxy.address).is_ok() {
-        assert!(started_at.elapsed() < TEST_TIMEOUT, "the listener stays");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "the listener stays open"
+        );
     }
     test_proxy.fail(Call::Bind, None, Errno::ADDRINUSE, 2);
     test_proxy.fail(Call::EpollControl, None, Errno::NOMEM, 3);
     assert!(send_command(socket, "undrain").starts_with("phase serving\n"));
     let client = loop {
-        assert!(started_at.elapsed() < TEST_TIMEOUT, "nobody listens");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "the proxy does not listen again"
+        );
         if let Ok(client) = TcpStream::connect(test_proxy.address) {
             break client;
         }
@@ -746,7 +755,7 @@
             send_command(socket, "status").starts_with("phase serving\n"),
             "{call:?}"
         );
-        // The retry of a watch may find the word before it is asked for again.
+        // The retry of a failed epoll registration may already find the command, so that one fault is enough.
         assert!(test_proxy.faults.faults(call) >= 1, "{call:?}");
         test_proxy.faults.clear();
     }
--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -1,4 +1,4 @@
-//! What needs no socket: codecs fed byte by byte, keys that go stale, and the configuration's messages.
+//! Tests without a proxy: codecs fed byte by byte, stale keys, log output and configuration errors.
 
 mod common;
 use common::TEST_TIMEOUT;
@@ -37,7 +37,7 @@
     assert_eq!((slots.len(), slots.keys()), (1, vec![new]));
 }
 
-/// The parts of a body that arrives in pieces of so many bytes.
+/// Parses a response that arrives in pieces of `piece` bytes; returns its parts, and whether it is complete.
 fn parts_of(stream: &[u8], piece: usize) -> Result<(Vec<Part>, bool), HttpError> {
     let (mut reader, mut parts, mut kept) = (ResponseParser::default(), vec![], vec![]);
     for bytes in stream.chunks(piece) {
@@ -48,7 +48,7 @@
     Ok((parts, reader.is_done()))
 }
 
-/// An object may be cut anywhere, indented, and one of several; white space between objects is a keepalive.
+/// Objects may be cut anywhere, be indented, and follow one another. White space between objects is a keepalive.
 #[test]
 fn a_stream_of_objects_may_be_cut_anywhere() {
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -76,7 +76,7 @@
             [indented, "{}", "{\"c\":1}"].map(|text| Part::Object(text.to_owned())),
             "{piece}"
         );
-        // White space inside an object is no keepalive, white space after it is.
+        // White space inside an object is not a keepalive; white space after it is.
         assert_eq!(parts.first(), objects.first());
         assert_eq!(parts.last(), Some(&Part::Keepalive));
         assert!(done);
@@ -122,7 +122,7 @@
     }
 }
 
-/// A list of megabytes in small pieces is read in good time, and one without end is not kept.
+/// A list of megabytes that arrives in small pieces is parsed without scanning its bytes again, and one over the size limit is rejected.
 #[test]
 fn a_large_list_in_small_pieces_is_read_once_or_given_up() {
     let entry = r#"{"name":"s-1","group":1,"status":"Ready"},"#;
@@ -158,8 +158,8 @@
     assert!(EndpointList::parse(br#"{"endpoints":[{"name":7}]}"#).is_err());
 }
 
-/// A response that is not one row of one value, in order, is rejected before its end is waited for: a client must not get
-/// noise as its value.
+/// A response that is not exactly one row of one value is rejected as soon as that shows, without waiting for its end: a
+/// client must not get an invalid value.
 #[test]
 fn only_a_well_formed_response_is_accepted() {
     let good = common::answer(
@@ -224,7 +224,7 @@
     }
 }
 
-/// A server sends a load report that can't be read or can't be true. It counts as empty, and the server is not taken to be down.
+/// A load report that is unreadable or impossible is treated as empty, and the server is not considered down.
 #[test]
 fn an_impossible_load_report_counts_as_empty() {
     let now = Time(Duration::from_secs(1_800_000_000));
@@ -311,7 +311,7 @@
     }
 }
 
-/// Every request has a new name. If names were kept for good, a process that runs for long would run out of memory.
+/// Every request has a new name, so a process that never forgot them would run out of memory.
 #[test]
 fn names_of_ended_requests_expire() {
     let (mut open_requests, start) = (OpenRequests::new(0), Instant::now());
@@ -336,7 +336,7 @@
     );
 }
 
-/// Servers are replaced under new names all the time: the memory for former names must not grow without bound.
+/// Servers are replaced under new names continually, so the memory for former names must be bounded.
 #[test]
 fn names_of_former_servers_are_forgotten() {
     let mut directory = Directory::default();
@@ -358,7 +358,7 @@
     );
 }
 
-/// A reader of the log that has stopped reading must not stop the one thread.
+/// A log reader that has stopped reading must not block the only thread.
 #[test]
 fn a_log_that_nobody_reads_is_dropped() {
     let (near, mut far) = UnixStream::pair().unwrap();
@@ -368,7 +368,7 @@
     assert!((1..4 << 20).contains(&kept.len()));
 }
 
-/// One record, one line, in both forms; key-values keep their types in JSON.
+/// Each record is one line in both formats, and JSON keeps the types of key-values.
 #[test]
 fn log_lines_carry_their_key_values() {
     let pairs = [
@@ -397,7 +397,7 @@
     assert_eq!(json, expected);
 }
 
-/// What bad peers can bring about at will is a line a second at most, which tells how many it stands for.
+/// Events that faulty peers can cause at will are logged at most once a second, with the number of events left out.
 #[test]
 fn the_log_does_not_grow_with_a_flood() {
     let (mut limit, start) = (LogRateLimit::default(), Instant::now());
@@ -459,7 +459,7 @@
     assert!(serve(&["version"]).status.success());
 }
 
-/// Guards against one entry that can't be read keeping a whole list from counting: drains and new servers were not heard of.
+/// Guards against one unreadable entry causing a whole list to be ignored, with its drains and new servers.
 #[test]
 fn a_list_with_an_unreadable_entry_counts_for_the_others() {
     let list = |json: &str| EndpointList::parse_readable(json.as_bytes()).unwrap();
@@ -485,16 +485,16 @@
     assert_eq!(
         changes(|c| matches!(c, ServerChange::Available(..))),
         1,
-        "a stays"
+        "a must stay available"
     );
     assert_eq!(
         changes(|c| matches!(c, ServerChange::Unavailable(_))),
         2,
-        "b drains, c is gone"
+        "b drains and c is gone"
     );
     assert_eq!(directory.index(), 2);
     let EndpointUpdate::Snapshot(entries) = update.endpoints else {
         panic!("{:?}", update.endpoints)
     };
-    assert_eq!(entries.len(), 2, "a is in what the decision module hears");
+    assert_eq!(entries.len(), 2, "the decision module must still get a");
 }
--- a/crates/leverproxy/tests/upgrade.rs
+++ b/crates/leverproxy/tests/upgrade.rs
@@ -68,7 +68,10 @@
     old_process.control.stop();
     at_old.answer("late", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("late"));
-    assert!(client.ended(), "a connection without an open request must be closed");
+    assert!(
+        client.ended(),
+        "a connection without an open request must be closed"
+    );
     old_process.end();
     assert!(
         answers_operators(&restart_socket.0),
@@ -159,7 +162,10 @@
     // The old process takes the control socket back once it has noticed the end of the new one.
     let end = Instant::now() + Duration::from_secs(10);
     while !answers_operators(&restart_socket.0) {
-        assert!(Instant::now() < end, "no process answers on the control socket");
+        assert!(
+            Instant::now() < end,
+            "no process answers on the control socket"
+        );
         thread::yield_now();
     }
     // A further new process takes over from the old one as the first did.
--- a/crates/leverproxy/tests/wall_clock.rs
+++ b/crates/leverproxy/tests/wall_clock.rs
@@ -1,5 +1,5 @@
-//! The wall clock is wrong when the process starts, or is stepped while it runs. The machine's clock stays as it is:
-//! the proxy reads one that the test sets.
+//! The wall clock is wrong when the process starts, or is stepped while it runs. The proxy reads a clock that the test sets;
+//! the machine's clock stays as it is.
 
 mod common;
 use common::{Peer, TestProxy, TEST_TIMEOUT};
@@ -18,9 +18,9 @@
 const MS: Duration = Duration::from_millis(1);
 const HOUR_MS: i64 = 3_600_000;
 
-// ---- The clock, and what is known of its error ----
+// ---- The clock and the estimate of its error ----
 
-/// A clock that is off by a number of milliseconds, which the test may change.
+/// A wall clock that differs from the machine's by `clock_offset` milliseconds, which the test may change.
 fn offset_wall_clock(clock_offset: &Arc<AtomicI64>) -> WallClock {
     let clock_offset = clock_offset.clone();
     WallClock::new(move || {
@@ -38,7 +38,7 @@
     Arc::new(AtomicI64::new(ms))
 }
 
-/// Spans on the process's clock are those of the monotonic clock, whatever the system's does.
+/// The process's clock advances with the monotonic clock, whatever steps the system clock makes.
 #[test]
 fn a_step_moves_no_instant_of_the_process() {
     for step in [2_000, -2_000, HOUR_MS, -HOUR_MS] {
@@ -68,7 +68,7 @@
     }
 }
 
-/// A clock before 1970, as that of a machine without a battery may be, is taken for 1970.
+/// A clock before 1970, as on a machine without a battery-backed clock, is treated as 1970.
 #[test]
 fn a_clock_before_1970_is_no_fault() {
     let clock = Clock::start(WallClock::new(|| UNIX_EPOCH - Duration::from_secs(5)));
@@ -76,7 +76,7 @@
     assert!(clock.system_lead().is_zero());
 }
 
-/// The present of these tests, by the process's clock.
+/// Current time of these tests by the process's clock.
 const NOW: Time = Time(Duration::from_secs(1_800_000_000));
 
 fn replica(server: u32, ahead: Duration) -> ReportedPosition {
@@ -87,7 +87,7 @@
     }
 }
 
-/// A primary's report that took 5 ms, with true time this far ahead.
+/// Report of a primary whose response took 5 ms, with true time ahead of the process's clock by `ahead`.
 fn primary(server: u32, ahead: Duration) -> ReportedPosition {
     ReportedPosition {
         read_after: Some(NOW.minus(5 * MS)),
@@ -110,8 +110,8 @@
     assert_eq!(estimate.latest_position(NOW), NOW.plus(1_000 * MS));
 }
 
-/// Two servers that agree, or three reports of one server, prove that the clock is behind; from then on their positions
-/// are believed and staleness bounds are computed with them.
+/// Two servers that agree, or three reports of one server, prove that the clock is behind. From then on their positions are
+/// accepted and used to compute staleness bounds.
 #[test]
 fn a_clock_that_is_behind_is_detected() {
     for behind in [2_000 * MS, 5_000 * MS, 3_600_000 * MS] {
@@ -132,7 +132,7 @@
     }
 }
 
-/// A single server reports a position that is wrong. It counts at once, but only for freshness needs and for a short time.
+/// A wrong position from a single server takes effect at once, but only for freshness needs and for a short time.
 #[test]
 fn one_wrong_position_counts_for_a_short_time_only() {
     for ahead in [400 * MS, 5_000 * MS, Duration::from_secs(1 << 40)] {
@@ -141,9 +141,9 @@
         assert_eq!(
             estimate.latest_position(NOW),
             NOW.plus(1_000 * MS),
-            "its position is not believed"
+            "a single server's position must not be accepted"
         );
-        // A replica that says less takes back nothing of it.
+        // A replica with an earlier position does not revoke it.
         estimate.observe_position(replica(2, Duration::ZERO), NOW);
         assert_eq!(estimate.lead(NOW.plus(1_900 * MS)), ahead);
         assert_eq!(estimate.lead(NOW.plus(2_100 * MS)), Duration::ZERO);
@@ -152,7 +152,7 @@
     assert_eq!(
         estimate_from(&contradicted).lead(NOW.plus(2_100 * MS)),
         Duration::ZERO,
-        "no two of them agree"
+        "no two servers agree, so no lead may last"
     );
     let mut estimate = estimate_from(&[replica(1, 5_000 * MS)]);
     let later = NOW.plus(Duration::from_secs(60));
@@ -166,11 +166,11 @@
     assert_eq!(
         estimate.lead(later.plus(2_100 * MS)),
         Duration::ZERO,
-        "the first is forgotten by then"
+        "the first report must have expired"
     );
 }
 
-/// Two servers have reported wrong positions. Primaries revoke the lead by three contradictions in a row, not sooner.
+/// After wrong positions from two servers, primaries revoke the lead by three contradictions in a row, not sooner.
 #[test]
 fn primaries_revoke_what_they_contradict() {
     let mut estimate = estimate_from(&[replica(1, 5_000 * MS), replica(2, 5_000 * MS)]);
@@ -180,20 +180,24 @@
     estimate.observe_position(primary(4, 5_000 * MS), NOW);
     estimate.observe_position(primary(3, Duration::ZERO), NOW);
     estimate.observe_position(primary(3, Duration::ZERO), NOW);
-    assert_eq!(estimate.lead(NOW), 5_000 * MS, "one has agreed in between");
+    assert_eq!(
+        estimate.lead(NOW),
+        5_000 * MS,
+        "an agreeing report must restart the count"
+    );
     estimate.observe_position(primary(3, 2 * MS), NOW);
     assert_eq!(
         estimate.lead(NOW),
         10 * MS,
-        "the most that they allow, in tens of milliseconds"
+        "the lead must fall to the highest that the primaries allow, rounded up to 10 ms"
     );
-    // A replica's old position contradicts nothing: it may lag.
+    // A replica's old position does not contradict the lead, since a replica may lag.
     let mut estimate = estimate_from(&[primary(1, 5_000 * MS); 3]);
     (0..9).for_each(|_| estimate.observe_position(replica(2, Duration::ZERO), NOW));
     assert_eq!(estimate.lead(NOW), 5_000 * MS);
 }
 
-/// Of two readings of the clock the later time counts, until primaries show that the system's clock is wrong.
+/// Of the clock read at the start and the system clock, the later one is used until primaries contradict the system clock.
 #[test]
 fn a_step_forward_counts_until_primaries_contradict_it() {
     for step in [2_000 * MS, 3_600_000 * MS] {
@@ -203,7 +207,7 @@
         assert_eq!(
             estimate.latest_position(NOW),
             NOW.plus(1_000 * MS),
-            "no position is believed by it alone"
+            "the system clock alone must not make positions acceptable"
         );
         for _ in 0..3 {
             assert_eq!(estimate.lead(NOW), step);
@@ -214,20 +218,24 @@
         assert_eq!(
             estimate.lead(NOW),
             Duration::ZERO,
-            "the same reading stays refuted"
+            "the same offset must stay refuted"
         );
         estimate.observe_system_clock(step + 1_000 * MS);
         assert_eq!(
             estimate.lead(NOW),
             step + 1_000 * MS,
-            "another step is another reading"
+            "another step must be used again"
         );
         estimate.observe_system_clock(Duration::ZERO);
-        assert_eq!(estimate.lead(NOW), Duration::ZERO, "it was stepped back");
+        assert_eq!(
+            estimate.lead(NOW),
+            Duration::ZERO,
+            "a step back must remove the lead"
+        );
     }
 }
 
-/// A report may be old, and a slow response gives wide bounds: neither revokes a small lead nor supports one.
+/// A report with wide bounds, from a slow response, neither revokes a small lead nor supports one.
 #[test]
 fn reports_with_wide_bounds_neither_support_nor_contradict() {
     let slow = ReportedPosition {
@@ -250,11 +258,11 @@
     assert_eq!(
         estimate.lead(NOW),
         Duration::ZERO,
-        "quick answers in a row, but for what says nothing"
+        "reports with wide bounds must not interrupt a row of contradictions"
     );
 }
 
-/// Machines whose clocks differ by milliseconds: needs stay as they are from one answer to the next.
+/// A lead of a few milliseconds is rounded up, so that freshness needs do not change from one response to the next.
 #[test]
 fn a_lead_of_milliseconds_is_rounded_up() {
     let mut estimate = estimate_from(&[primary(1, 2 * MS), primary(2, 3 * MS)]);
@@ -263,7 +271,7 @@
     assert_eq!(estimate.lead(NOW), 10 * MS);
 }
 
-/// The system's clock was corrected after the start: with it, the report of one server is enough.
+/// If the system clock was corrected after the start, it and the report of one server are enough evidence.
 #[test]
 fn the_system_clock_supports_a_servers_report() {
     let mut estimate = SkewEstimate::default();
@@ -274,7 +282,7 @@
     assert_eq!(estimate.lead(NOW), 4_800 * MS);
 }
 
-/// A client's position counts for its own read. For all others it needs a server or the system's clock beside it.
+/// A client's position applies to its own read. It affects other requests only if a server or the system clock supports it.
 #[test]
 fn a_client_alone_proves_nothing() {
     let after = NOW.plus(5_000 * MS);
@@ -286,8 +294,8 @@
     assert_eq!(estimate.lead(NOW.plus(Duration::from_secs(60))), 5_000 * MS);
 }
 
-/// A load report has a position that is not believed yet. The rest of it counts: without the role no write would find its
-/// primary.
+/// Of a load report whose position is not accepted yet, the other fields are used: without the role, writes would not find
+/// their primary.
 #[test]
 fn a_report_ahead_of_the_clock_still_gives_the_role() {
     let probed = |ahead: Duration| {
@@ -321,11 +329,11 @@
     assert_eq!(
         probed(Duration::from_secs(1 << 40)),
         (None, false),
-        "nothing in it can be true"
+        "an impossible position must invalidate the whole report"
     );
 }
 
-// ---- Stories ----
+// ---- Requests through a proxy with a wrong clock ----
 
 const SETTINGS: &str = r#"{"Balancers": 1, "Zones": ["a"], "HostTypes": ["m"],
  "Classes": [{"Name": "any", "Effect": "safe", "Deadline": 5000000, "GoalTime": 1000000, "LateValue": 0.5},
@@ -340,7 +348,7 @@
  "Realms": [{"Name": "acme", "QuotaPerS": 100.0}], "RegistryMode": "on_request",
  "Rules": {"StopSendingWithin": 500000, "StartCapacity": 1.0, "OverloadFactor": 2.0}}"#;
 
-/// True time: that of the machine.
+/// True time, which is the machine's, in milliseconds since 1970.
 fn true_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -348,12 +356,12 @@
         .as_millis() as u64
 }
 
-/// A record server that answers each query with its own name, and tells its position as it is then.
+/// A record server that answers each query with its own name and reports its current position.
 struct Server {
     address: SocketAddr,
-    /// Milliseconds by which its data is behind.
+    /// Milliseconds by which its data lags.
     lag: Arc<AtomicI64>,
-    /// It breaks the connection of the next query, after the test's clock is stepped by so much.
+    /// If set, the server steps the test's clock at the next query and closes the connection.
     reset_next_query: Arc<AtomicBool>,
 }
 
@@ -414,7 +422,7 @@
     peer.stream.write_all(&bytes).is_ok()
 }
 
-/// A proxy whose clock the test has set, between a primary and a replica.
+/// A proxy with a clock that the test sets, and a primary and a replica behind it.
 struct ReplicatedPair {
     _test_proxy: TestProxy,
     client: Peer,
@@ -423,7 +431,7 @@
 }
 
 impl ReplicatedPair {
-    /// The clock as the proxy finds it, and as it is once a query is broken off.
+    /// `clock` is the offset at the start; `step` is the offset after the replica has broken off a query.
     fn new(clock: &Arc<AtomicI64>, step: i64, lag_ms: i64, settings: &str) -> ReplicatedPair {
         let primary = Server::new("primary", 0, None);
         let replica = Server::new("replica", lag_ms, Some((clock.clone(), step)));
@@ -443,11 +451,11 @@
         }
     }
 
-    /// Who has answered.
+    /// Sends a query; returns the name of the server that answered.
     fn ask(&mut self, class: &str, extra_fields: &str) -> String {
         self.asked += 1;
         let id = self.asked;
-        // A read waits for a replica for as long as its time lets it.
+        // A read may wait for a replica until its deadline.
         let wait = if class == "recent" { 900 } else { 4_900 };
         self.client.ask(&format!(
             "SELECT doc FROM items WHERE id = '7f3a' /* id={id:016x},c={class},t=acme,d={wait},cluster=3{extra_fields} */"
@@ -465,7 +473,7 @@
         assert_eq!(self.ask("book", ""), "primary");
     }
 
-    /// Both servers have told who they are and where.
+    /// Sends requests until both servers have reported their roles and positions.
     fn learn_roles(&mut self) {
         let of_replica = (0..100)
             .filter(|_| self.ask("any", "") == "replica")
@@ -473,12 +481,12 @@
             .count();
         assert_eq!(
             of_replica, 3,
-            "reads that may go anywhere spare the primary"
+            "reads without freshness needs must reach the replica"
         );
         self.write();
     }
 
-    /// So many reads of a class in a row, and those that the replica had.
+    /// Sends `reads` reads of a class one after the other; returns how many the replica served.
     fn count_replica_reads(
         &mut self,
         reads: u32,
@@ -491,12 +499,12 @@
     }
 }
 
-/// A session's read sees its write although the clock is behind, or ahead, of the one that positions are told by.
+/// A session's read sees its write although the proxy's clock is behind or ahead of the clock of the reported positions.
 #[test]
 fn a_session_read_sees_its_write_whatever_the_clock_says() {
     for start in [-5_000, -2_000, 2_000, HOUR_MS, -HOUR_MS] {
         let clock = clock_offset(start);
-        // Behind the write below, and not far ahead of a clock that is 5 s behind.
+        // The replica's position is behind the write below, and only slightly ahead of a clock that is 5 s behind.
         let mut pair = ReplicatedPair::new(&clock, 0, 4_500, SETTINGS);
         pair.learn_roles();
         let after = || format!(",after={}", true_ms() - 1_000);
@@ -508,7 +516,7 @@
     }
 }
 
-/// Nor is a replica that holds the write lost to such reads, once its word on the time is believed.
+/// A replica that has the write serves reads after it, once its reported position is accepted.
 #[test]
 fn a_replica_that_holds_the_write_serves_it_whatever_the_clock_says() {
     for start in [-5_000, -HOUR_MS, 2_000, HOUR_MS] {
@@ -523,18 +531,18 @@
     }
 }
 
-/// Where the proxy remembers commits itself, one that lies ahead of its clock counts all the same.
+/// Where the proxy itself tracks the commits of sessions, a commit ahead of its clock is still respected.
 #[test]
 fn a_remembered_commit_ahead_of_the_clock_binds_its_session() {
     let settings = SETTINGS.replace(r#""TokenMode": "client""#, r#""TokenMode": "router""#);
     let clock = clock_offset(-5_000);
     let mut pair = ReplicatedPair::new(&clock, 0, 4_500, &settings);
-    // With a write, whose commit is among the first words that lie ahead.
+    // This includes a write, whose commit is among the first positions ahead of the clock.
     pair.learn_roles();
     assert_eq!(pair.count_replica_reads(8, "own", String::new), 0);
 }
 
-/// Data is no older than its bound although the clock is behind by about as much as the replica.
+/// The staleness bound holds although the clock is behind by about as much as the replica.
 #[test]
 fn a_bound_on_the_age_of_data_holds_by_a_clock_that_is_behind() {
     for (start, lag) in [(-5_000, 4_500), (-2_000, 1_600), (-HOUR_MS, 4_500)] {
@@ -549,7 +557,7 @@
     }
 }
 
-/// By a clock that is ahead all data looks too old: such reads are the primary's, and none is refused.
+/// By a clock that is ahead, all replica data looks too old. The primary serves such reads, and none is rejected.
 #[test]
 fn a_bounded_read_is_served_by_a_clock_that_is_ahead() {
     for start in [2_000, HOUR_MS] {
@@ -564,8 +572,8 @@
     }
 }
 
-/// The system's clock is stepped between a read's arrival and its retry. Two readings of the time disagree, and the
-/// stricter counts: the primary gets it. Its answers show that the clock which was read at the start is right, and
+/// The system clock is stepped forward between a read's arrival and its retry. The two readings of the clock disagree and the
+/// stricter one is used, so the primary gets the retry. The primary's reports then confirm the clock read at the start, and
 /// the replica serves again.
 #[test]
 fn a_step_between_arrival_and_retry_is_heeded_until_it_is_refuted() {
@@ -575,13 +583,16 @@
         pair.learn_roles();
         assert!(
             (0..50).any(|_| pair.ask("recent", "") == "replica"),
-            "the replica is fresh enough"
+            "the replica must serve before the step"
         );
         pair.replica.reset_next_query.store(true, Ordering::SeqCst);
         let started_at = Instant::now();
         let mut by = pair.ask("recent", "");
         while pair.replica.reset_next_query.load(Ordering::SeqCst) {
-            assert!(started_at.elapsed() < TEST_TIMEOUT, "the replica gets none");
+            assert!(
+                started_at.elapsed() < TEST_TIMEOUT,
+                "the replica gets no read"
+            );
             by = pair.ask("recent", "");
         }
         assert_eq!(by, "primary", "a step of {step} ms");
@@ -594,17 +605,17 @@
     }
 }
 
-/// A step back moves nothing: the clock that was read at the start counts, and it is the stricter one.
+/// A step back has no effect: the clock read at the start stays in use, since it is the stricter one.
 #[test]
 fn a_step_back_between_arrival_and_retry_lets_no_old_data_pass() {
     for step in [-2_000, -HOUR_MS] {
         let clock = clock_offset(0);
         let mut pair = ReplicatedPair::new(&clock, step, 20, SETTINGS);
         pair.learn_roles();
-        // Its data stands still for longer than a read would wait for it.
+        // The replica's data lags by more than a read may wait for it.
         pair.replica.lag.store(6_000, Ordering::SeqCst);
         pair.replica.reset_next_query.store(true, Ordering::SeqCst);
-        // What was told before is too old after the bound.
+        // Positions that were reported before exceed the bound after this time.
         let started_at = Instant::now();
         while started_at.elapsed() < 600 * MS {
             pair.ask("recent", "");
@@ -612,7 +623,7 @@
         assert_eq!(
             clock.load(Ordering::SeqCst),
             step,
-            "the replica got a read and broke it off"
+            "the replica must have received a read and broken it off"
         );
         assert_eq!(
             pair.count_replica_reads(2, "recent", String::new),
@@ -622,7 +633,7 @@
     }
 }
 
-/// A request that nobody answers ends in its time, neither sooner nor later, though the clock is stepped under it.
+/// A request without a response ends at its deadline, neither sooner nor later, although the clock is stepped meanwhile.
 #[test]
 fn a_step_moves_no_deadline() {
     for step in [2_000, -2_000, HOUR_MS, -HOUR_MS] {
@@ -636,7 +647,7 @@
         let mut upstream = server.accept_session();
         upstream.query();
         clock.store(step, Ordering::SeqCst);
-        // Another request makes the loop turn, and its clock is read, while the first is out.
+        // Another request makes the event loop read the clock while the first is in flight.
         let mut other = Peer::client(test_proxy.address);
         other.ask("SET a = 1");
         other.reply();
@@ -649,11 +660,11 @@
     }
 }
 
-// ---- Spans over a step ----
+// ---- Durations across a step ----
 
 const STEPS: [i64; 4] = [2_000, -2_000, HOUR_MS, -HOUR_MS];
 
-/// Returns once so much time has gone by; what is waited for is that it has.
+/// Waits until `span` has elapsed; the tests that call it need the time itself to pass.
 fn busy_wait(span: Duration) {
     let started_at = Instant::now();
     while started_at.elapsed() < span {
@@ -661,7 +672,7 @@
     }
 }
 
-/// The next query that is no probe, on any connection.
+/// Accepts a session, answers its probes and returns the first other query.
 fn next_query(server: &common::Listener) -> (Peer, String) {
     let mut peer = server.accept_session();
     loop {
@@ -672,7 +683,7 @@
     }
 }
 
-/// A keyed write whose first attempt may have run, `after` which the clock is stepped and the connection breaks.
+/// A keyed write whose first attempt may have run: `after` this span, the clock is stepped and the connection is closed.
 fn broken_keyed_write(
     window: Duration,
     after: Duration,
@@ -698,7 +709,7 @@
     (test_proxy, client, server)
 }
 
-/// The window of a key is a span: a step forward does not end it, and a step back does not open it again.
+/// The deduplication window of a key is a duration: a step forward does not end it, and a step back does not reopen it.
 #[test]
 fn a_step_moves_no_window_of_a_key() {
     for step in STEPS {
@@ -712,17 +723,17 @@
         upstream.answer("one", &[("role", "primary")]);
         assert_eq!(client.reply().value.as_deref(), Some("one"));
         let (_test_proxy, mut client, _server) = broken_keyed_write(200 * MS, 300 * MS, step);
-        // Sent again, it would be waited for until its client's time is over.
+        // If the write were retried, it would fail only at its deadline.
         let started_at = Instant::now();
         assert!(client.reply().code.is_some());
         assert!(
             started_at.elapsed() < 2_500 * MS,
-            "a step of {step} ms, behind the window: it is sent again"
+            "a step of {step} ms, after the window: the write must not be retried"
         );
     }
 }
 
-/// A watch is replaced once it has been silent for its time, not sooner, and not an hour later.
+/// A watch is replaced once nothing has arrived for the silence timeout, neither sooner nor an hour later.
 #[test]
 fn a_step_moves_no_silence_of_discovery() {
     for step in STEPS {
@@ -742,7 +753,7 @@
     }
 }
 
-/// A pooled connection is closed once it has been idle for its time.
+/// A pooled connection is closed after its idle timeout.
 #[test]
 fn a_step_moves_no_idle_time() {
     for step in STEPS {
--- a/fuzz/fuzz_targets/datagram.rs
+++ b/fuzz/fuzz_targets/datagram.rs
@@ -1,4 +1,5 @@
-//! Any bytes as a datagram, as they are and under a good signature: no panic, nothing beyond the bounds, nothing twice.
+//! Arbitrary bytes as a datagram, unsigned and with a valid signature: no panic, no field beyond its bound, and no datagram
+//! accepted without a signature or twice.
 #![no_main]
 
 use datagram_auth::{Keys, Opener, MAX_NAME_BYTES, MAX_PAYLOAD_BYTES};
@@ -12,7 +13,7 @@
     let mut opener = Opener::new("n0", keys, ["n1".to_owned(), "n2".to_owned()]);
     assert!(opener.open(bytes).is_err(), "opened without a signature");
 
-    // The rest is reached behind a good signature alone.
+    // Only a valid signature reaches the rest of the parser.
     let mut signed = b"LVPR\x01\x01".to_vec();
     if let Some(versions) = bytes.get(..2) {
         signed[4..].copy_from_slice(versions);
--- a/fuzz/fuzz_targets/lending.rs
+++ b/fuzz/fuzz_targets/lending.rs
@@ -1,5 +1,5 @@
-//! Any bytes as the file of loans and as the messages of one member: no panic, no message that is too long, and nothing lent, since one
-//! of five is no majority of the bootstrap members.
+//! Arbitrary bytes as the state file of loans and as the messages of one member: no panic, no message over its size limit, and
+//! no loan, since one of five bootstrap members is not a majority.
 #![no_main]
 
 use quota_lending::identity::{bootstrap_digest, name_number, AccountId};
@@ -11,10 +11,10 @@
 
 const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
 const TENANT: &str = "stand";
-/// Kinds from heartbeats to votes.
+/// Number of message kinds, from heartbeats to votes.
 const KINDS: u8 = 6;
 
-/// A part of the bytes, after its length.
+/// Takes a part off the front of `bytes`, where its length precedes it.
 fn part<'a>(bytes: &mut &'a [u8]) -> Option<&'a [u8]> {
     let (length, rest) = bytes.split_first_chunk::<2>()?;
     let length = usize::from(u16::from_le_bytes(*length)) % (BODY_BYTES + 1);
@@ -85,9 +85,9 @@
     lender.handle(Duration::ZERO, Event::Rules(rules), &mut actions);
     actions.extend(bootstrap(&mut lender));
     let mut now = Duration::ZERO;
-    while let Some(published) = part(&mut bytes) {
-        now += Duration::from_millis(published.len() as u64 * 7);
-        let Some(([kind, incarnation], body)) = published.split_first_chunk::<2>() else {
+    while let Some(message_bytes) = part(&mut bytes) {
+        now += Duration::from_millis(message_bytes.len() as u64 * 7);
+        let Some(([kind, incarnation], body)) = message_bytes.split_first_chunk::<2>() else {
             continue;
         };
         let (kind, incarnation) = (HEARTBEAT + kind % KINDS, u64::from(*incarnation));
--- a/fuzz/fuzz_targets/rollout.rs
+++ b/fuzz/fuzz_targets/rollout.rs
@@ -1,5 +1,5 @@
-//! Any bytes as a state file and as facts of one member: no panic, nothing published or persisted beyond the bounds, and no
-//! other version runs, since one of three in a region is no quorum.
+//! Arbitrary bytes as a state file and as facts of one member: no panic, nothing published or persisted beyond the size limits,
+//! and no change of version, since one member of three in a region is not a quorum.
 #![no_main]
 
 use rollout::{
@@ -16,10 +16,10 @@
     ("e", "west"),
     ("f", "west"),
 ];
-/// The host reads no longer state file.
+/// Largest state file that the host reads, in bytes.
 const STATE_BYTES: usize = 16 << 10;
 
-/// A part of the bytes, led by its length.
+/// Takes a part off the front of `bytes`, where its length precedes it.
 fn part<'a>(bytes: &mut &'a [u8]) -> Option<&'a [u8]> {
     let (length, rest) = bytes.split_first_chunk::<2>()?;
     let length = usize::from(u16::from_le_bytes(*length)) % (BODY_BYTES + 1);
@@ -89,7 +89,7 @@
                     assert!(bytes.len() <= STATE_BYTES);
                     core.handle(now, Event::Persisted(true), &mut actions);
                 }
-                Action::RunVersion(_) => panic!("runs by one member's facts"),
+                Action::RunVersion(_) => panic!("the version changed on the facts of one member"),
                 Action::CheckVersion(hash) => {
                     core.handle(now, Event::VersionChecked(hash, Ok(())), &mut actions)
                 }
--- a/fuzz/fuzz_targets/text.rs
+++ b/fuzz/fuzz_targets/text.rs
@@ -1,4 +1,4 @@
-//! Any bytes as a configuration: no panic, and what can be formatted has a form that is final and means the same.
+//! Arbitrary bytes as a configuration: no panic, and formatting is idempotent and keeps the meaning.
 #![no_main]
 
 use configuration::diagnostic::render;
@@ -23,10 +23,10 @@
     let Ok(text) = std::str::from_utf8(bytes) else {
         return;
     };
-    if let Some(tidy) = format(text) {
-        assert_eq!(format(&tidy).as_ref(), Some(&tidy));
+    if let Some(formatted) = format(text) {
+        assert_eq!(format(&formatted).as_ref(), Some(&formatted));
         if first.is_valid() {
-            let second = reading(tidy.as_bytes());
+            let second = reading(formatted.as_bytes());
             assert!(second.is_valid() && diff(&first, &second, None).is_empty());
         }
     }
