--- a/crates/leverproxy/tests/errors.rs
+++ b/crates/leverproxy/tests/errors.rs
@@ -1,5 +1,6 @@
 //! Compares the operators' page of errors with the messages and advice of the error types, by one sample of each variant. A
-//! variant without a sample or without advice does not compile. `WRITE_PAGES=1 cargo test -p leverproxy --test errors` regenerates the page.
+//! variant without a sample or without advice does not compile. Regenerate the page with
+//! `WRITE_PAGES=1 cargo test -p leverproxy --test errors`.
 
 use std::fmt::Write;
 use std::io;
--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -122,7 +122,8 @@
     }
 }
 
-/// A list of megabytes that arrives in small pieces is parsed without scanning its bytes again, and one over the size limit is rejected.
+/// A list of megabytes that arrives in small pieces is parsed without scanning its bytes again, and one over the size limit
+/// is rejected.
 #[test]
 fn a_large_list_in_small_pieces_is_read_once_or_given_up() {
     let entry = r#"{"name":"s-1","group":1,"status":"Ready"},"#;
