--- a/crates/configuration/src/format.rs
+++ b/crates/configuration/src/format.rs
@@ -1,44 +1,46 @@
-//! The canonical form of a file. Words, comments and groups of lines stay; blanks and needless quotes go.
+//! The canonical form of a file. Words, comments and groups of lines are kept; indentation and blanks are normalized and
+//! unnecessary quotes removed.
 
 use crate::source::FileId;
 use crate::syntax::{self, Entry, Quote, Word};
 
 const INDENT: &str = "    ";
-/// Sections don't nest: lines of a faulty file may look as if they did, and indents would outgrow them.
-const DEEPEST: usize = 4;
+/// Maximum depth of the indentation. Sections don't nest, but the lines of an invalid file may look as if they did, and
+/// their indentation would become longer than the text.
+const MAX_INDENT_DEPTH: usize = 4;
 
-/// The canonical form of a text without syntax faults; none of one that has some: nothing that can't be read is
+/// The canonical form of a text; `None` if the text has syntax faults, since a text that can't be parsed must not be
 /// rewritten.
 pub fn format(text: &str) -> Option<String> {
     let syntax = syntax::parse(FileId(0), text);
     if !syntax.faults.is_empty() {
         return None;
     }
-    // Offsets are those of the text with its byte order mark blanked out.
+    // The offsets of `syntax` refer to the text with its byte order mark replaced by blanks.
     let text = match text.strip_prefix('\u{feff}') {
         Some(_) => &text.replacen('\u{feff}', "   ", 1),
         None => text,
     };
     let mut out = String::with_capacity(text.len());
     let mut depth = 0_usize;
-    let mut fresh = true;
+    let mut at_section_start = true;
     for line in &syntax.lines {
         if let Entry::Close(_) = line.entry {
             depth = depth.saturating_sub(1);
         }
-        if line.apart && !fresh && !matches!(line.entry, Entry::Close(_)) {
+        if line.after_blank_line && !at_section_start && !matches!(line.entry, Entry::Close(_)) {
             out.push('\n');
         }
-        let indent = INDENT.repeat(depth.min(DEEPEST));
+        let indent = INDENT.repeat(depth.min(MAX_INDENT_DEPTH));
         out.push_str(&indent);
-        fresh = false;
+        at_section_start = false;
         match &line.entry {
-            Entry::Directive(all) => words(&mut out, text, all, &indent),
+            Entry::Directive(all) => write_words(&mut out, text, all, &indent),
             Entry::Open(all, _) => {
-                words(&mut out, text, all, &indent);
+                write_words(&mut out, text, all, &indent);
                 out.push_str(" {");
                 depth += 1;
-                fresh = true;
+                at_section_start = true;
             }
             Entry::Close(_) => out.push('}'),
             Entry::Comment => {}
@@ -54,7 +56,7 @@
     Some(out)
 }
 
-fn words(out: &mut String, text: &str, words: &[Word], indent: &str) {
+fn write_words(out: &mut String, text: &str, words: &[Word], indent: &str) {
     for (at, word) in words.iter().enumerate() {
         if word.continued && at > 0 {
             out.push_str(" \\\n");
@@ -68,14 +70,14 @@
             .get(1..written.len().saturating_sub(1))
             .unwrap_or_default();
         match word.quote {
-            Quote::Double | Quote::Single if plain(inside) => out.push_str(inside),
+            Quote::Double | Quote::Single if needs_no_quotes(inside) => out.push_str(inside),
             _ => out.push_str(written),
         }
     }
 }
 
-/// Means the same without quotes.
-fn plain(text: &str) -> bool {
+/// Whether a quoted text means the same without quotes.
+fn needs_no_quotes(text: &str) -> bool {
     let safe = |c: char| c.is_ascii_alphanumeric() || "-_.:/%*+,=@?".contains(c);
     !text.is_empty() && text.chars().all(safe)
 }
--- a/crates/grpc-health/src/lib.rs
+++ b/crates/grpc-health/src/lib.rs
@@ -1,7 +1,7 @@
-//! The gRPC health-checking protocol (`grpc.health.v1.Health`: Check, Watch, List), served on a thread of its own.
+//! The gRPC health-checking protocol (`grpc.health.v1.Health`: Check, Watch, List), served on its own thread.
 //!
-//! HTTP/2 and protobuf are libraries' work, and their loop is not the proxy's: the proxy publishes a [`Snapshot`]
-//! when something has changed, and never waits for whoever reads it. Connections, streams and bytes are bounded.
+//! Libraries implement HTTP/2 and protobuf, in an event loop separate from the proxy's. The proxy publishes a
+//! [`Snapshot`] when something has changed, and never waits for its readers. Connections, streams and bytes are bounded.
 //!
 //! Source: the gRPC health checking protocol and `health.proto`; gRPC over HTTP/2 for frames and trailers.
 
@@ -23,31 +23,31 @@
 use tokio::sync::{watch, Semaphore};
 use tokio::time::timeout;
 
-/// Which services there are, and whether each serves. The empty name is the whole server.
+/// Whether each service serves, by its name. The empty name is the whole server.
 pub type Snapshot = BTreeMap<String, bool>;
 
-/// Bounds on what checks may use.
+/// Limits on the resources that checks may use.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Connections at once; further ones wait in the backlog.
+    /// Maximum number of open connections; further ones wait in the backlog.
     pub connections: usize,
-    /// A connection has to come up, and a request to come whole, within this.
-    pub patience: Duration,
+    /// Time limit for the handshake of a connection, and for receiving a request.
+    pub timeout: Duration,
 }
 
-/// Calls of one connection at once, watches among them.
-const STREAMS: u32 = 16;
-/// A request's message; a service's name fits many times.
+/// Maximum number of concurrent calls of one connection, including watches.
+const MAX_STREAMS: u32 = 16;
+/// Maximum size of a request's message in bytes; far more than a service's name needs.
 const MESSAGE_LIMIT: usize = 1 << 10;
 
-/// gRPC's codes.
+/// gRPC status codes.
 const OK: u8 = 0;
 const INVALID_ARGUMENT: u8 = 3;
 const NOT_FOUND: u8 = 5;
 const RESOURCE_EXHAUSTED: u8 = 8;
 const UNIMPLEMENTED: u8 = 12;
 
-/// The proxy's end: publishes, and ends the thread when it is dropped.
+/// Handle of the server thread: publishes snapshots, and ends the thread when it is dropped.
 #[derive(Debug)]
 pub struct Server {
     publish: watch::Sender<Arc<Snapshot>>,
@@ -56,7 +56,7 @@
 }
 
 impl Server {
-    /// Serves on a thread of its own until the returned value is dropped. Fails if the thread or its event loop can't be had.
+    /// Serves on a new thread until the returned value is dropped. Fails if the thread or its event loop can't be created.
     pub fn start(listener: TcpListener, settings: Settings) -> io::Result<Server> {
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
@@ -65,10 +65,10 @@
             .enable_io()
             .enable_time()
             .build()?;
-        let work = move || runtime.block_on(serve(listener, settings, snapshots));
+        let run = move || runtime.block_on(serve(listener, settings, snapshots));
         let thread = std::thread::Builder::new()
             .name("grpc-health".into())
-            .spawn(work)?;
+            .spawn(run)?;
         Ok(Server {
             publish,
             address,
@@ -76,12 +76,12 @@
         })
     }
 
-    /// Where it listens.
+    /// The address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What is to be told from now on; watches hear of it if it differs.
+    /// Replaces the snapshot; watches are notified if it differs from the previous one.
     pub fn publish(&self, snapshot: Snapshot) {
         self.publish.send_if_modified(|known| {
             let differs = **known != snapshot;
@@ -107,21 +107,21 @@
 async fn serve(listener: TcpListener, settings: Settings, snapshots: Snapshots) {
     let listener = match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => listener,
-        Err(error) => return log::error!("grpc health: {error}"),
+        Err(error) => return log::error!("grpc health: can't use the listener: {error}"),
     };
-    let places = Arc::new(Semaphore::new(settings.connections));
-    let mut over = snapshots.clone();
+    let permits = Arc::new(Semaphore::new(settings.connections));
+    let mut shutdown = snapshots.clone();
     loop {
-        let Ok(place) = Arc::clone(&places).acquire_owned().await else {
+        let Ok(permit) = Arc::clone(&permits).acquire_owned().await else {
             return;
         };
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            // The proxy's end is gone: watches hear the last word, if they are quick.
-            () = gone(&mut over) => {
-                drop(place);
+            // The handle was dropped: connections have until the timeout to end their watches.
+            () = publisher_dropped(&mut shutdown) => {
+                drop(permit);
                 let all = u32::try_from(settings.connections).unwrap_or(u32::MAX);
-                _ = timeout(settings.patience, places.acquire_many(all)).await;
+                _ = timeout(settings.timeout, permits.acquire_many(all)).await;
                 return;
             }
         };
@@ -130,16 +130,16 @@
                 let snapshots = snapshots.clone();
                 tokio::spawn(async move {
                     connection(stream, settings, snapshots).await;
-                    drop(place);
+                    drop(permit);
                 });
             }
-            // Out of descriptors, for one: others may be closed meanwhile.
+            // For example out of descriptors: others may be closed meanwhile.
             Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
         }
     }
 }
 
-async fn gone(snapshots: &mut Snapshots) {
+async fn publisher_dropped(snapshots: &mut Snapshots) {
     while snapshots.changed().await.is_ok() {}
 }
 
@@ -147,21 +147,21 @@
     _ = stream.set_nodelay(true);
     let mut builder = h2::server::Builder::new();
     builder
-        .max_concurrent_streams(STREAMS)
+        .max_concurrent_streams(MAX_STREAMS)
         .max_header_list_size(4 << 10)
         .initial_window_size(16 << 10);
     let Ok(Ok(mut connection)) =
-        timeout(settings.patience, builder.handshake::<_, Bytes>(stream)).await
+        timeout(settings.timeout, builder.handshake::<_, Bytes>(stream)).await
     else {
         return;
     };
-    let mut over = snapshots.clone();
+    let mut shutdown = snapshots.clone();
     loop {
         let call = tokio::select! {
             call = connection.accept() => call,
-            () = gone(&mut over) => {
+            () = publisher_dropped(&mut shutdown) => {
                 connection.graceful_shutdown();
-                while let Ok(Some(Ok(_))) = timeout(settings.patience, connection.accept()).await {}
+                while let Ok(Some(Ok(_))) = timeout(settings.timeout, connection.accept()).await {}
                 return;
             }
         };
@@ -169,30 +169,30 @@
             return;
         };
         let snapshots = snapshots.clone();
-        tokio::spawn(async move { call_of(request, respond, settings, snapshots).await });
+        tokio::spawn(async move { handle_call(request, respond, settings, snapshots).await });
     }
 }
 
-async fn call_of(
+async fn handle_call(
     request: Request<RecvStream>,
     respond: SendResponse<Bytes>,
     settings: Settings,
     snapshots: Snapshots,
 ) {
     let (head, body) = request.into_parts();
-    let message = match timeout(settings.patience, read(body)).await {
+    let message = match timeout(settings.timeout, read_message(body)).await {
         Ok(Ok(message)) => message,
-        Ok(Err(code)) => return fail(respond, code),
-        Err(_) => return fail(respond, INVALID_ARGUMENT),
+        Ok(Err(code)) => return send_error(respond, code),
+        Err(_) => return send_error(respond, INVALID_ARGUMENT),
     };
     match head.uri.path() {
         "/grpc.health.v1.Health/Check" => match CheckRequest::decode(message) {
-            Err(_) => fail(respond, INVALID_ARGUMENT),
-            Ok(asked) => {
-                let served = snapshots.borrow().get(&asked.service).copied();
+            Err(_) => send_error(respond, INVALID_ARGUMENT),
+            Ok(request) => {
+                let served = snapshots.borrow().get(&request.service).copied();
                 match served {
-                    Some(serves) => answer(respond, &CheckResponse::of(Some(serves))),
-                    None => fail(respond, NOT_FOUND),
+                    Some(serves) => send_message(respond, &CheckResponse::of(Some(serves))),
+                    None => send_error(respond, NOT_FOUND),
                 }
             }
         },
@@ -204,18 +204,18 @@
             let list = ListResponse {
                 statuses: statuses.collect(),
             };
-            answer(respond, &list);
+            send_message(respond, &list);
         }
         "/grpc.health.v1.Health/Watch" => match CheckRequest::decode(message) {
-            Err(_) => fail(respond, INVALID_ARGUMENT),
-            Ok(asked) => watch_service(respond, &asked.service, snapshots).await,
+            Err(_) => send_error(respond, INVALID_ARGUMENT),
+            Ok(request) => watch_service(respond, &request.service, snapshots).await,
         },
-        _ => fail(respond, UNIMPLEMENTED),
+        _ => send_error(respond, UNIMPLEMENTED),
     }
 }
 
-/// The one message of a request, or the code that it deserves.
-async fn read(mut body: RecvStream) -> Result<Bytes, u8> {
+/// Reads the single message of a request, or returns the status code of the fault.
+async fn read_message(mut body: RecvStream) -> Result<Bytes, u8> {
     let mut bytes = BytesMut::new();
     while let Some(part) = body.data().await {
         let part = part.map_err(|_| INVALID_ARGUMENT)?;
@@ -225,11 +225,11 @@
         }
         bytes.extend_from_slice(&part);
     }
-    unframed(bytes.freeze()).ok_or(INVALID_ARGUMENT)
+    decode_frame(bytes.freeze()).ok_or(INVALID_ARGUMENT)
 }
 
-/// A frame is a flag for compression, which is not offered here, and the length of the message.
-fn unframed(mut bytes: Bytes) -> Option<Bytes> {
+/// Decodes a gRPC frame: a flag for compression, which is not supported, and the length of the message before it.
+fn decode_frame(mut bytes: Bytes) -> Option<Bytes> {
     if bytes.len() < 5 || bytes.get_u8() != 0 {
         return None;
     }
@@ -237,8 +237,8 @@
     (bytes.len() == length).then_some(bytes)
 }
 
-/// A message as a gRPC frame: not compressed, with its length.
-pub fn framed(message: &impl Message) -> Bytes {
+/// Encodes a message as an uncompressed gRPC frame.
+pub fn encode_frame(message: &impl Message) -> Bytes {
     let body = message.encode_to_vec();
     let mut out = Vec::with_capacity(body.len() + 5);
     out.push(0);
@@ -247,7 +247,7 @@
     out.into()
 }
 
-fn head() -> Response<()> {
+fn response_head() -> Response<()> {
     let mut response = Response::new(());
     response
         .headers_mut()
@@ -261,34 +261,35 @@
     trailers
 }
 
-/// Without a message the status stands in the head.
-fn fail(mut respond: SendResponse<Bytes>, code: u8) {
-    let mut response = head();
+/// Sends a response without a message; its status is in the head.
+fn send_error(mut respond: SendResponse<Bytes>, code: u8) {
+    let mut response = response_head();
     response.headers_mut().extend(trailers(code));
     _ = respond.send_response(response, true);
 }
 
-fn answer(mut respond: SendResponse<Bytes>, message: &impl Message) {
-    if let Ok(mut stream) = respond.send_response(head(), false) {
+fn send_message(mut respond: SendResponse<Bytes>, message: &impl Message) {
+    if let Ok(mut stream) = respond.send_response(response_head(), false) {
         _ = stream
-            .send_data(framed(message), false)
+            .send_data(encode_frame(message), false)
             .and_then(|()| stream.send_trailers(trailers(OK)));
     }
 }
 
-/// Tells the state now, and then every change, until the watcher goes. A service that is not there may yet come.
+/// Sends the current state of a service and then every change, until the client ends the watch. A service that is not
+/// known may be published later.
 async fn watch_service(mut respond: SendResponse<Bytes>, service: &str, mut snapshots: Snapshots) {
-    let Ok(mut stream) = respond.send_response(head(), false) else {
+    let Ok(mut stream) = respond.send_response(response_head(), false) else {
         return;
     };
-    let mut told: Option<CheckResponse> = None;
+    let mut sent: Option<CheckResponse> = None;
     loop {
-        let now = CheckResponse::of(snapshots.borrow_and_update().get(service).copied());
-        if told.as_ref() != Some(&now) {
-            if send(&mut stream, framed(&now)).await.is_err() {
+        let current = CheckResponse::of(snapshots.borrow_and_update().get(service).copied());
+        if sent.as_ref() != Some(&current) {
+            if send(&mut stream, encode_frame(&current)).await.is_err() {
                 return;
             }
-            told = Some(now);
+            sent = Some(current);
         }
         tokio::select! {
             changed = snapshots.changed() => if changed.is_err() {
@@ -300,7 +301,7 @@
     }
 }
 
-/// Waits for room, so that a watcher that reads nothing costs one message and not all that come.
+/// Waits for capacity of the stream, so that for a client that does not read only one message is buffered.
 async fn send(stream: &mut SendStream<Bytes>, data: Bytes) -> Result<(), h2::Error> {
     stream.reserve_capacity(data.len());
     while stream.capacity() < data.len() {
--- a/crates/leverproxy/src/cluster/quota_lending/metrics.rs
+++ b/crates/leverproxy/src/cluster/quota_lending/metrics.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use quota_lending::{Lender, LoanTotals};
-use wire_admin::Figures;
+use wire_admin::Metrics;
 
 use super::QuotaLending;
 
@@ -109,37 +109,37 @@
     }
 
     /// Writes all metrics of quota lending.
-    pub fn write_metrics(&self, now: Instant, figures: &mut Figures) {
+    pub fn write_metrics(&self, now: Instant, figures: &mut Metrics) {
         self.write_tenant_metrics(now, figures);
         self.write_decision_metrics(figures);
         self.write_state_metrics(figures);
     }
 
-    fn write_tenant_metrics(&self, now: Instant, figures: &mut Figures) {
+    fn write_tenant_metrics(&self, now: Instant, figures: &mut Metrics) {
         let totals = self.totals(now);
         for (name, help, value) in TENANT_METRICS {
             let rows = totals
                 .iter()
                 .map(|(tenant, totals)| (vec![("stand", *tenant)], value(totals)));
-            figures.many(name, help, rows);
+            figures.add_labelled(name, help, rows);
         }
         let limits = self
             .running
             .iter()
             .flat_map(|running| running.lender.credit_limits());
         let rows = limits.map(|(tenant, limit)| (vec![("stand", tenant)], limit));
-        figures.many(
+        figures.add_labelled(
             "lb_loan_line_milli",
             "Credit limit of the fleet by this proxy's rules, in thousandths of a request.",
             rows,
         );
     }
 
-    fn write_decision_metrics(&self, figures: &mut Figures) {
+    fn write_decision_metrics(&self, figures: &mut Metrics) {
         let rows = self.withheld.iter().map(|(tenant, thousandths)| {
             (vec![("stand", tenant.as_str())], u64::from(*thousandths))
         });
-        figures.many(
+        figures.add_labelled(
             "lb_loan_withheld",
             "Thousandths of the tenant's quota that are withheld as repayment.",
             rows,
@@ -148,19 +148,19 @@
             .borrowed
             .iter()
             .map(|(tenant, n)| (vec![("stand", tenant.as_str())], *n));
-        figures.many("lb_loans_total", "Requests that borrowed quota.", rows);
+        figures.add_labelled("lb_loans_total", "Requests that borrowed quota.", rows);
         let rows = self
             .denied
             .iter()
             .map(|(reason, n)| (vec![("reason", *reason)], *n));
-        figures.many(
+        figures.add_labelled(
             "lb_loans_refused_total",
             "Requests beyond quota that were denied a loan, by reason.",
             rows,
         );
     }
 
-    fn write_state_metrics(&self, figures: &mut Figures) {
+    fn write_state_metrics(&self, figures: &mut Metrics) {
         let lender = self.running.as_ref().map(|running| &running.lender);
         let rows = [
             (
@@ -211,7 +211,7 @@
             ),
         ];
         for (name, help, value) in rows {
-            figures.one(name, help, value);
+            figures.add(name, help, value);
         }
     }
 }
--- a/crates/leverproxy/tests/balancers.rs
+++ b/crates/leverproxy/tests/balancers.rs
@@ -140,7 +140,7 @@
         200,
         "the proxy must stay ready for other groups"
     );
-    let reply = agent::read(&agent_check(agent));
+    let reply = agent::parse_response(&agent_check(agent));
     assert_eq!(
         (reply.administrative, reply.operational),
         (Some(Administrative::Ready), Some(Operational::Up))
@@ -291,7 +291,7 @@
     let (done, text) = run_command(socket, "undrain");
     assert!(done && text.starts_with("phase serving\n"), "{text}");
     assert_eq!(
-        agent::read(&agent_check(test_proxy.health[0])).administrative,
+        agent::parse_response(&agent_check(test_proxy.health[0])).administrative,
         Some(Administrative::Ready)
     );
     Peer::client(test_proxy.address);
--- a/crates/wire-health/src/http.rs
+++ b/crates/wire-health/src/http.rs
@@ -1,15 +1,16 @@
 //! Health over HTTP/1.1 and 1.0: `/livez`, `/readyz`, `/startupz`, `/readyz/group/N`.
 //!
-//! Sources: RFC 9110 and 9112; the health endpoints' names as Kubernetes has them; HAProxy's `http-check
+//! Sources: RFC 9110 and 9112; the names of Kubernetes' health endpoints; HAProxy's `http-check
 //! disable-on-404` and `X-Haproxy-Server-State` (`http-check send-state`); Envoy's health checking headers.
 
 use crate::orca::{self, Format};
 use crate::{State, Status};
 use serde_json::json;
 
-/// Bytes of a request's head, and its headers; a check needs far fewer.
+/// Maximum size of a request's head, in bytes; a check needs far less.
 pub const HEAD_LIMIT: usize = 4 << 10;
-const HEADERS: usize = 32;
+/// Maximum number of a request's headers.
+const MAX_HEADERS: usize = 32;
 
 /// The request's method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,11 +19,11 @@
     Get,
     /// HEAD
     Head,
-    /// Any other; it is rejected.
+    /// Any other method; rejected.
     Other,
 }
 
-/// The endpoint that a check asks.
+/// The endpoint of a check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     /// `/livez`: the process works.
@@ -37,7 +38,7 @@
     Unknown,
 }
 
-/// What balancers that know few statuses are told.
+/// Mapping of states to HTTP statuses, for balancers that distinguish only a few.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Statuses {
     /// 200 or 503.
@@ -49,46 +50,46 @@
     OverloadIs429,
 }
 
-/// A health check as it was asked.
+/// A parsed health check.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Check {
     /// The method.
     pub method: Method,
     /// The endpoint.
     pub target: Target,
-    /// The connection goes on after the answer.
-    pub keep: bool,
-    /// Detail in JSON is wanted.
+    /// Whether the connection stays open after the response.
+    pub keep_alive: bool,
+    /// Whether details in JSON are requested.
     pub detail: bool,
-    /// The format of the load report that is wanted; none: no report.
+    /// The requested format of the load report; none: no report.
     pub load: Option<Format>,
-    /// What the balancer says of this server.
+    /// The balancer's view of this server, if the request has one.
     pub server_state: Option<ServerState>,
 }
 
 /// HAProxy's view of a server: `UP 2/3; name=bck/srv2; node=lb1; weight=1/2; scur=13/22; qcur=0`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerState {
-    /// The word and the progress behind it.
+    /// The state with its progress, for example `UP 2/3`.
     pub state: String,
-    /// The balancer's own name.
+    /// The balancer's name.
     pub node: Option<String>,
-    /// The server's weight, and that of its whole backend.
+    /// The weights of the server and of its whole backend.
     pub weight: Option<(u32, u32)>,
-    /// Sessions on this server, and on the whole backend.
+    /// The numbers of sessions on the server and on its whole backend.
     pub sessions: Option<(u32, u32)>,
-    /// Requests queued for this server.
+    /// The number of requests queued for the server.
     pub queued: Option<u32>,
 }
 
-/// Parses the value of `X-Haproxy-Server-State`; none: it can't be read.
+/// Parses the value of `X-Haproxy-Server-State`; none if it is invalid.
 pub fn server_state(value: &str) -> Option<ServerState> {
     let mut parts = value.split(';').map(str::trim);
     let state = parts
         .next()
         .filter(|s| !s.is_empty() && s.len() <= 64)?
         .to_owned();
-    let mut found = ServerState {
+    let mut parsed = ServerState {
         state,
         node: None,
         weight: None,
@@ -101,30 +102,30 @@
     };
     for part in parts {
         match part.split_once('=') {
-            Some(("node", node)) if node.len() <= 64 => found.node = Some(node.to_owned()),
-            Some(("weight", weight)) => found.weight = pair(weight),
-            Some(("scur", sessions)) => found.sessions = pair(sessions),
-            Some(("qcur", queued)) => found.queued = queued.parse().ok(),
+            Some(("node", node)) if node.len() <= 64 => parsed.node = Some(node.to_owned()),
+            Some(("weight", weight)) => parsed.weight = pair(weight),
+            Some(("scur", sessions)) => parsed.sessions = pair(sessions),
+            Some(("qcur", queued)) => parsed.queued = queued.parse().ok(),
             _ => {}
         }
     }
-    Some(found)
+    Some(parsed)
 }
 
-/// Why a request is no health check. None is worth a retry.
+/// Reason why a request is not a health check. Retrying does not help.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// No HTTP.
+    /// The request is not HTTP.
     Malformed,
-    /// Longer than a check.
+    /// The head is longer than [`HEAD_LIMIT`], or has too many headers.
     TooLong,
-    /// A check brings no body.
+    /// The request has a body.
     Body,
 }
 
-/// A check, if its head has come whole, and the bytes that it takes.
+/// Parses a check. Returns it with the number of its bytes, or none if its head is incomplete.
 pub fn parse(input: &[u8]) -> Result<Option<(Check, usize)>, Fault> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let used = match request.parse(input) {
         Ok(httparse::Status::Complete(used)) => used,
@@ -156,7 +157,7 @@
     let mut check = Check {
         method,
         target,
-        keep: request.version == Some(1),
+        keep_alive: request.version == Some(1),
         detail: query
             .split('&')
             .any(|pair| pair == "verbose" || pair == "format=json"),
@@ -169,15 +170,15 @@
             "connection" => {
                 for word in value.split(',').map(str::trim) {
                     if word.eq_ignore_ascii_case("close") {
-                        check.keep = false;
+                        check.keep_alive = false;
                     } else if word.eq_ignore_ascii_case("keep-alive") && request.version == Some(0)
                     {
-                        check.keep = true;
+                        check.keep_alive = true;
                     }
                 }
             }
             "accept" => check.detail |= value.to_ascii_lowercase().contains("application/json"),
-            // A body would be read as the next request.
+            // A body would be parsed as the next request.
             "content-length" if value != "0" => return Err(Fault::Body),
             "transfer-encoding" => return Err(Fault::Body),
             "x-haproxy-server-state" => check.server_state = server_state(value),
@@ -188,8 +189,8 @@
     Ok(Some((check, used)))
 }
 
-/// The answer to what is no check; the connection ends behind it.
-pub fn fault(fault: Fault) -> Vec<u8> {
+/// The response to a request that is not a check; the connection is closed after it.
+pub fn fault_response(fault: Fault) -> Vec<u8> {
     let status = match fault {
         Fault::Malformed => "400 Bad Request",
         Fault::TooLong => "431 Request Header Fields Too Large",
@@ -199,7 +200,7 @@
 }
 
 /// The response to a check, with the status that `statuses` prescribes.
-pub fn answer(check: &Check, status: &Status, statuses: Statuses) -> Vec<u8> {
+pub fn response(check: &Check, status: &Status, statuses: Statuses) -> Vec<u8> {
     let state = status.state;
     let group = match check.target {
         Target::Group(group) => status.groups.iter().find(|g| g.group == group),
@@ -207,24 +208,24 @@
     };
     let (code, word) = match check.target {
         Target::Unknown => ("404 Not Found", "no such check"),
-        // It runs, or it would not answer.
+        // A process that responds is alive.
         Target::Live => ("200 OK", "alive"),
         Target::Started if state == State::Starting => ("503 Service Unavailable", state.name()),
         Target::Started => ("200 OK", "started"),
-        Target::Group(_) if !state.serves() => (unready(state, statuses), state.name()),
+        Target::Group(_) if !state.serves() => (unready_code(state, statuses), state.name()),
         Target::Group(_) => match group {
             Some(group) if !group.serves => ("503 Service Unavailable", group.condition),
             Some(group) => ("200 OK", group.condition),
-            // Nothing speaks against a group that nobody has asked for.
+            // A group without requests so far counts as serving.
             None => ("200 OK", "not asked for yet"),
         },
         Target::Ready if state == State::Overloaded && statuses == Statuses::OverloadIs429 => {
             ("429 Too Many Requests", state.name())
         }
-        // Overload and trouble that all share are told by weights and headers; a balancer that knows but yes and no
-        // is told yes.
+        // Overload and shared faults are reported by weights and headers; balancers that distinguish only healthy and
+        // unhealthy get healthy.
         Target::Ready if state.serves() => ("200 OK", state.name()),
-        Target::Ready => (unready(state, statuses), state.name()),
+        Target::Ready => (unready_code(state, statuses), state.name()),
     };
     if check.method == Method::Other {
         return respond(
@@ -236,7 +237,7 @@
     }
     let mut headers = vec!["Cache-Control: no-store".to_owned()];
     if !code.starts_with("200") && check.target != Target::Unknown || state == State::Overloaded {
-        // Whole seconds, rounded up: earlier is of no use.
+        // Whole seconds, rounded up, since an earlier retry would be rejected again.
         headers.push(format!(
             "Retry-After: {}",
             status.retry_after.as_millis().div_ceil(1_000).max(1)
@@ -262,17 +263,17 @@
         let links: serde_json::Map<_, _> = status
             .links
             .iter()
-            .map(|(place, link)| (place.clone(), json!(link)))
+            .map(|(site, link)| (site.clone(), json!(link)))
             .collect();
-        let degraded = if let State::Degraded(share) = state {
-            share
+        let unserved_percent = if let State::Degraded(percent) = state {
+            percent
         } else {
             0
         };
         let detail = json!({
             "state": state.name(),
             "weight": status.weight,
-            "unserved_percent": degraded,
+            "unserved_percent": unserved_percent,
             "reason": status.reason,
             "room": status.max_clients,
             "load": {
@@ -292,7 +293,7 @@
     respond(code, &headers, &body, check)
 }
 
-fn unready(state: State, statuses: Statuses) -> &'static str {
+fn unready_code(state: State, statuses: Statuses) -> &'static str {
     match (state, statuses) {
         (State::Draining | State::Stopping, Statuses::DrainIs404) => "404 Not Found",
         _ => "503 Service Unavailable",
@@ -305,7 +306,7 @@
         out.push_str(header);
         out.push_str("\r\n");
     }
-    out.push_str(if check.keep {
+    out.push_str(if check.keep_alive {
         "Connection: keep-alive\r\n\r\n"
     } else {
         "Connection: close\r\n\r\n"
