--- a/crates/leverproxy/tests/closing.rs
+++ b/crates/leverproxy/tests/closing.rs
@@ -1,12 +1,12 @@
-//! Connections that end, from either side, while bytes are under way: every order of two events that may cross.
+//! Connections that are closed by either side while bytes are in transit, in every order of the two events.
 //!
-//! Where the program's event loop must not see one event before another has come, the program is stopped (SIGSTOP) in
-//! between: what comes meanwhile waits in its sockets, and the loop finds all of it at once.
+//! Where the event loop must get two events in one batch, the program is stopped (SIGSTOP) meanwhile: both wait in its
+//! sockets until it continues.
 
 mod common;
 use common::{
-    message, own_address, read, served, Listener, Peer, Program, Reply, Scratch, Stage, PATIENCE,
-    SETTINGS,
+    message, read_statement, serve_request, unshared_loopback_address, Listener, Peer, Program,
+    Reply, TempFile, TestProxy, SETTINGS, TEST_TIMEOUT,
 };
 use leverproxy::config::Config;
 use leverproxy::protocol::postgres::server::startup_packet;
@@ -19,8 +19,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Stops the program: it sees no event from here on.
-fn freeze(program: &Program) {
+/// Stops the program with SIGSTOP; its event loop gets no events until SIGCONT.
+fn pause(program: &Program) {
     program.signal(Signal::STOP);
     let (_, status) = waitpid(Some(Pid::from_child(&program.child)), WaitOptions::UNTRACED)
         .unwrap()
@@ -28,118 +28,124 @@
     assert!(status.stopped(), "{status:?}");
 }
 
-fn thaw(program: &Program) {
+fn resume(program: &Program) {
     program.signal(Signal::CONT);
 }
 
-/// A program that knows one record server.
+/// Starts a program with one record server in its endpoint list.
 fn program(operators: &str, server: &Listener) -> Program {
-    let mut program = Program::under("", operators);
-    program.watch.tell(57, &[server.listed("s-1", "Ready")]);
+    let mut program = Program::with_operators_file("", operators);
+    program
+        .watch
+        .send_list(57, &[server.endpoint_entry("s-1", "Ready")]);
     program
 }
 
-/// Stops the program after it has received SIGTERM, for longer than it goes on listening.
-fn freeze_past_the_linger(program: &mut Program) {
+/// Sends SIGTERM, and pauses the program once it has logged that.
+fn pause_after_stop_signal(program: &mut Program) {
     program.signal(Signal::TERM);
-    program.line("told to stop");
-    freeze(program);
+    program.wait_for_log_line("told to stop");
+    pause(program);
 }
 
-const LINGER: Duration = Duration::from_millis(500);
+/// Longer than the program accepts new clients after SIGTERM.
+const BEYOND_ACCEPT_PERIOD: Duration = Duration::from_millis(500);
 
-/// The proxy has been told to stop, no client is connected, and the time for new connections is over. One connection waits
-/// in the listener's queue. Closing the listener would reset it, so it is accepted and its request is served first.
+/// The proxy is stopping, without clients, and its period for new connections is over. A connection still waits in the
+/// listener's queue. Closing the listener would reset that connection, so it is accepted and its request served first.
 #[test]
 fn a_client_at_the_listener_as_it_closes_is_served() {
     let server = Listener::new();
     let mut program = program("", &server);
-    freeze_past_the_linger(&mut program);
+    pause_after_stop_signal(&mut program);
     let mut client = Peer::connect(program.address);
     client.write(&startup_packet("app", "shop"));
-    client.ask(&read(1, "any", 2000));
-    thread::sleep(LINGER);
-    thaw(&program);
+    client.ask(&read_statement(1, "any", 2000));
+    thread::sleep(BEYOND_ACCEPT_PERIOD);
+    resume(&program);
     assert_eq!(client.reply(), Reply::default(), "the greeting");
-    served_last(&mut client, &server, "late");
+    serve_next_request(&mut client, &server, "late");
     assert!(client.ended());
     assert!(program.child.wait().unwrap().success());
 }
 
-fn served_last(client: &mut Peer, server: &Listener, value: &str) {
-    let mut upstream = server.welcome();
+fn serve_next_request(client: &mut Peer, server: &Listener, value: &str) {
+    let mut upstream = server.accept_session();
     upstream.query();
     upstream.answer(value, &[]);
     assert_eq!(client.reply().value.as_deref(), Some(value));
 }
 
-/// A connection has waited in the listener's queue since before the proxy was told to stop. It is accepted and served.
+/// A connection that has waited in the listener's queue since before SIGTERM is accepted and served.
 #[test]
 fn a_client_at_the_listener_when_told_to_stop_is_served() {
     let server = Listener::new();
     let mut program = program("", &server);
-    freeze(&program);
+    pause(&program);
     let mut client = Peer::connect(program.address);
     client.write(&startup_packet("app", "shop"));
-    client.ask(&read(1, "any", 2000));
+    client.ask(&read_statement(1, "any", 2000));
     program.signal(Signal::TERM);
-    thaw(&program);
+    resume(&program);
     assert_eq!(client.reply(), Reply::default(), "the greeting");
-    served_last(&mut client, &server, "early");
+    serve_next_request(&mut client, &server, "early");
     assert!(client.ended());
     assert!(program.child.wait().unwrap().success());
 }
 
-/// Many clients wait for the server's greeting before they send a request. A client that is greeted just as the proxy
-/// closes its listener has time to send that request, and is served.
+/// Clients wait for the greeting before they send a request. A client that is greeted just as the proxy closes its listener
+/// has time to send its first request, and is served.
 #[test]
 fn a_client_greeted_as_the_listener_closes_may_still_send_its_request() {
     let server = Listener::new();
     let mut program = program("", &server);
-    freeze_past_the_linger(&mut program);
+    pause_after_stop_signal(&mut program);
     let mut client = Peer::connect(program.address);
     client.write(&startup_packet("app", "shop"));
-    thread::sleep(LINGER);
-    thaw(&program);
+    thread::sleep(BEYOND_ACCEPT_PERIOD);
+    resume(&program);
     assert_eq!(client.reply(), Reply::default(), "the greeting");
-    client.ask(&read(1, "any", 2000));
-    served_last(&mut client, &server, "first");
+    client.ask(&read_statement(1, "any", 2000));
+    serve_next_request(&mut client, &server, "first");
     assert!(client.ended());
     assert!(program.child.wait().unwrap().success());
 }
 
-/// A client that is connected as the proxy stops sends no request. Its connection is closed after a short time, without an
+/// A client without a request is connected when the proxy stops. Its connection is closed after a short time, without an
 /// error, and the proxy ends.
 #[test]
 fn a_client_that_sends_no_request_does_not_delay_the_end() {
-    let mut stage = Stage::with(&[], |config| {
-        (config.accept_after_stop, config.shutdown_timeout) = (Duration::ZERO, 9 * PATIENCE)
+    let mut test_proxy = TestProxy::with_config(&[], |config| {
+        (config.accept_after_stop, config.shutdown_timeout) = (Duration::ZERO, 9 * TEST_TIMEOUT)
     });
-    let mut client = Peer::client(stage.address);
-    stage.control.stop();
-    assert!(client.message().is_err(), "the end, and nothing before it");
+    let mut client = Peer::client(test_proxy.address);
+    test_proxy.control.stop();
+    assert!(
+        client.message().is_err(),
+        "the connection must end without a message"
+    );
     drop(client);
-    stage.end();
+    test_proxy.end();
 }
 
-/// The proxy is at its limit of clients, and connections wait in the listener's queue as it stops. Closed with the listener,
-/// they would be reset. Each gets an error instead, with which a client knows that it can try another proxy.
+/// The proxy is at its limit of clients, and connections wait in the listener's queue when it stops. Closing the listener
+/// would reset them. Each gets an error instead, after which a client can try another proxy.
 #[test]
 fn a_client_over_the_limit_as_the_listener_closes_gets_an_error() {
     let server = Listener::new();
-    let mut stage = Stage::with(&[("s-1", &server)], |config| {
-        (config.accept_after_stop, config.shutdown_timeout) = (Duration::ZERO, 3 * PATIENCE);
+    let mut test_proxy = TestProxy::with_config(&[("s-1", &server)], |config| {
+        (config.accept_after_stop, config.shutdown_timeout) = (Duration::ZERO, 3 * TEST_TIMEOUT);
         config.limits.clients = 1;
     });
-    let mut busy = Peer::client(stage.address);
-    busy.ask(&read(1, "any", 19000));
-    let mut upstream = server.welcome();
+    let mut busy = Peer::client(test_proxy.address);
+    busy.ask(&read_statement(1, "any", 19000));
+    let mut upstream = server.accept_session();
     upstream.query();
-    let mut waiting: Vec<Peer> = (0..3).map(|_| Peer::connect(stage.address)).collect();
+    let mut waiting: Vec<Peer> = (0..3).map(|_| Peer::connect(test_proxy.address)).collect();
     for client in &mut waiting {
         client.write(&startup_packet("app", "shop"));
     }
-    stage.control.stop();
+    test_proxy.control.stop();
     for mut client in waiting {
         assert_eq!(client.reply().code.as_deref(), Some("53300"));
         assert!(client.ended());
@@ -148,17 +154,17 @@
     assert_eq!(busy.reply().value.as_deref(), Some("one"));
     assert!(busy.ended());
     drop(busy);
-    stage.end();
+    test_proxy.end();
 }
 
-/// Binds an address whose listener has been closed. A child process that another test of this program starts holds a copy
-/// of that listener from its fork to its exec, and the system calls the address in use until then.
+/// Binds an address whose listener has been closed. A child process that another test starts holds a copy of that listener
+/// from its fork to its exec, and bind fails with EADDRINUSE until then.
 fn bind_released(address: SocketAddr) -> TcpListener {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     loop {
         match TcpListener::bind(address) {
             Ok(listener) => return listener,
-            Err(error) => assert!(begun.elapsed() < PATIENCE, "{address}: {error}"),
+            Err(error) => assert!(started_at.elapsed() < TEST_TIMEOUT, "{address}: {error}"),
         }
         thread::yield_now();
     }
@@ -167,45 +173,48 @@
 /// A drain is cancelled while another process has taken the proxy's address. The proxy retries until it can listen.
 #[test]
 fn listening_again_is_retried_until_the_address_is_free() {
-    let place = Scratch::new("");
-    std::fs::remove_file(&place.0).unwrap();
-    let stage = Stage::with(&[], |config| {
-        config.control_socket = Some(place.0.clone());
-        config.listen = own_address();
+    let socket_file = TempFile::new("");
+    std::fs::remove_file(&socket_file.0).unwrap();
+    let test_proxy = TestProxy::with_config(&[], |config| {
+        config.control_socket = Some(socket_file.0.clone());
+        config.listen = unshared_loopback_address();
     });
-    let say = |word: &str| {
-        let mut socket = UnixStream::connect(&place.0).unwrap();
-        socket.write_all(format!("{word}\n").as_bytes()).unwrap();
-        let mut told = String::new();
-        socket.read_to_string(&mut told).unwrap();
-        told
+    let send_command = |command: &str| {
+        let mut socket = UnixStream::connect(&socket_file.0).unwrap();
+        socket.write_all(format!("{command}\n").as_bytes()).unwrap();
+        let mut response = String::new();
+        socket.read_to_string(&mut response).unwrap();
+        response
     };
-    assert!(say("drain").starts_with("phase drained"));
-    let other = bind_released(stage.address);
-    assert!(say("undrain").starts_with("phase serving"));
+    assert!(send_command("drain").starts_with("phase drained"));
+    let other = bind_released(test_proxy.address);
+    assert!(send_command("undrain").starts_with("phase serving"));
     drop(other);
-    let begun = Instant::now();
-    while TcpStream::connect(stage.address).is_err() {
-        assert!(begun.elapsed() < PATIENCE, "nobody listens");
+    let started_at = Instant::now();
+    while TcpStream::connect(test_proxy.address).is_err() {
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "the proxy does not listen again"
+        );
         thread::yield_now();
     }
-    Peer::client(stage.address);
+    Peer::client(test_proxy.address);
 }
 
-/// A client's connection pool looks at a connection only when it uses it next, so an idle client may never read that the
-/// proxy closes. One that has been idle for longer than it takes to read an answer does not delay the end.
+/// A client's connection pool reads from a connection only at its next use, so an idle client may never notice that the
+/// proxy closes it. A client that has been idle for longer than the linger timeout does not delay the end.
 #[test]
 fn an_idle_client_that_never_reads_does_not_delay_the_end() {
     const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
     let server = Listener::new();
-    let mut stage = stage(&server, |config| {
+    let mut test_proxy = test_proxy(&server, |config| {
         config.client_limits.linger = LINGER_TIMEOUT
     });
-    let idle = idle_client(&stage, &server);
+    let idle = idle_client(&test_proxy, &server);
     thread::sleep(LINGER_TIMEOUT);
     let stopped_at = Instant::now();
-    stage.control.stop();
-    stage.end();
+    test_proxy.control.stop();
+    test_proxy.end();
     assert!(stopped_at.elapsed() < LINGER_TIMEOUT);
     drop(idle);
 }
@@ -213,32 +222,32 @@
 /// Without clients the proxy ends as soon as its listener is closed.
 #[test]
 fn a_stop_without_clients_ends_at_once() {
-    let mut stage = stage(&Listener::new(), |_| {});
+    let mut test_proxy = test_proxy(&Listener::new(), |_| {});
     let stopped_at = Instant::now();
-    stage.control.stop();
-    stage.end();
-    assert!(stopped_at.elapsed() < PATIENCE);
+    test_proxy.control.stop();
+    test_proxy.end();
+    assert!(stopped_at.elapsed() < TEST_TIMEOUT);
 }
 
-/// While the proxy drains, it writes the last answer that it owes on a connection. The client's next request has come
-/// already, but was not read yet. Closing behind the answer would lose it: it is read and answered first.
+/// A draining proxy writes the last open response of a connection while the client's next request waits unread in the socket.
+/// Closing after the response would lose that request, so it is read and answered first.
 #[test]
 fn a_request_behind_the_last_answer_is_served() {
     let server = Listener::new();
     let mut program = program("", &server);
-    // In this order: the program has looked at the client when it closes the other.
+    // In this order, the program has handled `client` by the time that it closes `idle`.
     let mut client = Peer::client(program.address);
     let mut idle = Peer::client(program.address);
-    client.ask(&read(1, "any", 3000));
-    let mut upstream = server.welcome();
+    client.ask(&read_statement(1, "any", 3000));
+    let mut upstream = server.accept_session();
     upstream.query();
     program.signal(Signal::TERM);
     assert!(idle.ended(), "the listener is closed");
-    freeze(&program);
-    // In this order: the program finds the answer first.
+    pause(&program);
+    // In this order, the program handles the response first.
     upstream.answer("one", &[]);
     client.ask("");
-    thaw(&program);
+    resume(&program);
     assert_eq!(client.reply().value.as_deref(), Some("one"));
     assert_eq!(client.reply(), Reply::default(), "the empty one");
     assert!(client.ended());
@@ -246,8 +255,8 @@
     assert!(program.child.wait().unwrap().success());
 }
 
-/// There are many clients, and one has been idle for long. It sends a request just as the proxy is about to close its
-/// connection. The request is served.
+/// Among many clients, one that has been idle for long sends a request just as the proxy is about to close its connection.
+/// The request is served.
 #[test]
 fn a_request_on_an_idle_connection_is_served_among_many_clients() {
     let server = Listener::new();
@@ -256,18 +265,18 @@
         &server,
     );
     let mut client = Peer::client(program.address);
-    let mut upstream = served(&mut client, &server, 1, "one");
-    freeze(&program);
+    let mut upstream = serve_request(&mut client, &server, 1, "one");
+    pause(&program);
     thread::sleep(Duration::from_millis(2_100));
-    client.ask(&read(2, "any", 2000));
-    thaw(&program);
+    client.ask(&read_statement(2, "any", 2000));
+    resume(&program);
     upstream.query();
     upstream.answer("two", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("two"));
 }
 
-/// The proxy is at its limit, and the client that has been idle the longest is to give way to a new one. It sends a request
-/// just then. It stays, and the one that has been idle the next longest gives way.
+/// The proxy is at its limit, and would close the longest idle client in favour of a new one. That client sends a request at
+/// the same moment: it stays connected, and the next longest idle client is closed.
 #[test]
 fn an_idle_client_that_sends_a_request_does_not_give_way() {
     let server = Listener::new();
@@ -276,89 +285,90 @@
         &server,
     );
     let mut clients: Vec<Peer> = (0..3).map(|_| Peer::client(program.address)).collect();
-    let mut upstream = served(&mut clients[0], &server, 1, "one");
+    let mut upstream = serve_request(&mut clients[0], &server, 1, "one");
     for (id, client) in (2..).zip(&mut clients[1..]) {
-        client.ask(&read(id, "any", 2000));
+        client.ask(&read_statement(id, "any", 2000));
         upstream.query();
         upstream.answer("each", &[]);
         assert_eq!(client.reply().value.as_deref(), Some("each"));
     }
-    // At the limit, the listener is left alone for 100 ms.
+    // At the limit, the proxy stops accepting for 100 ms.
     thread::sleep(Duration::from_millis(200));
-    freeze(&program);
-    // In this order: the program finds the newcomer first.
+    pause(&program);
+    // In this order, the program handles the new client first.
     let mut newcomer = Peer::connect(program.address);
     newcomer.write(&startup_packet("app", "shop"));
-    clients[0].ask(&read(4, "any", 2000));
-    thaw(&program);
+    clients[0].ask(&read_statement(4, "any", 2000));
+    resume(&program);
     upstream.query();
     upstream.answer("four", &[]);
     assert_eq!(clients[0].reply().value.as_deref(), Some("four"));
     assert_eq!(newcomer.reply(), Reply::default(), "the greeting");
     assert!(
         clients[1].ended(),
-        "the one that was idle the longest but for the first"
+        "the next longest idle client must be closed"
     );
 }
 
-/// A client's time for its first request is over, but the request came before the proxy had seen that. It is served.
+/// A client's first request arrives after its time limit, but before the proxy has handled the timeout. It is served.
 #[test]
 fn a_first_request_at_the_last_moment_is_served() {
     let server = Listener::new();
     let program = program("limits {\n client-patience 1s\n}\n", &server);
     let mut client = Peer::client(program.address);
-    freeze(&program);
+    pause(&program);
     thread::sleep(Duration::from_millis(1_100));
-    client.ask(&read(1, "any", 2000));
-    thaw(&program);
-    served_last(&mut client, &server, "in time");
+    client.ask(&read_statement(1, "any", 2000));
+    resume(&program);
+    serve_next_request(&mut client, &server, "in time");
 }
 
-/// A proxy that closes its listener as soon as it is told to stop, and waits long for open requests.
-fn stage(server: &Listener, adjust: impl FnOnce(&mut Config)) -> Stage {
-    // Under three names: one that has just come into the list bears little at once.
-    Stage::with(
+/// A proxy that closes its listener as soon as it is stopped, and has a long timeout for open requests.
+fn test_proxy(server: &Listener, adjust: impl FnOnce(&mut Config)) -> TestProxy {
+    // Listed under three names, because a newly listed server gets few requests at first.
+    TestProxy::with_config(
         &[("s-1", server), ("s-2", server), ("s-3", server)],
         |config| {
-            (config.accept_after_stop, config.shutdown_timeout) = (Duration::ZERO, 3 * PATIENCE);
+            (config.accept_after_stop, config.shutdown_timeout) =
+                (Duration::ZERO, 3 * TEST_TIMEOUT);
             adjust(config);
         },
     )
 }
 
-/// Tells the proxy to stop, and waits until its listener is closed.
-fn stop(stage: &Stage, idle: &mut Peer) {
-    stage.control.stop();
+/// Stops the proxy, and waits until it has closed the idle client, which it does together with its listener.
+fn stop(test_proxy: &TestProxy, idle: &mut Peer) {
+    test_proxy.control.stop();
     assert!(idle.ended());
 }
 
-/// A client that is idle after one request. Its connection closes with the listener.
-fn idle_client(stage: &Stage, server: &Listener) -> Peer {
-    let mut client = Peer::client(stage.address);
-    drop(served(&mut client, server, 99, "idle"));
+/// A client that is idle after one request. Its connection is closed together with the listener.
+fn idle_client(test_proxy: &TestProxy, server: &Listener) -> Peer {
+    let mut client = Peer::client(test_proxy.address);
+    drop(serve_request(&mut client, server, 99, "idle"));
     client
 }
 
-/// A client has sent several commands before the listener closes. All are answered, in their order, then the connection
-/// ends.
+/// A client has sent several commands before the listener closes. All are answered in their order before the connection is
+/// closed.
 #[test]
 fn pipelined_commands_are_answered_in_order_before_the_end() {
     let server = Listener::new();
-    let mut stage = stage(&server, |_| {});
-    let mut idle = idle_client(&stage, &server);
-    let mut client = Peer::client(stage.address);
+    let mut test_proxy = test_proxy(&server, |_| {});
+    let mut idle = idle_client(&test_proxy, &server);
+    let mut client = Peer::client(test_proxy.address);
     for id in 1..4 {
-        client.ask(&read(id, "any", 19000));
+        client.ask(&read_statement(id, "any", 19000));
     }
     client.ask("");
     let mut upstreams: Vec<(String, Peer)> = (0..3)
         .map(|_| {
-            let mut upstream = server.welcome();
+            let mut upstream = server.accept_session();
             (upstream.query(), upstream)
         })
         .collect();
-    stop(&stage, &mut idle);
-    // The last is answered first.
+    stop(&test_proxy, &mut idle);
+    // The servers answer in reverse order.
     upstreams.sort_by(|a, b| b.0.cmp(&a.0));
     for (query, upstream) in &mut upstreams {
         let id = query.split("id=").nth(1).unwrap()[..16].to_owned();
@@ -369,23 +379,23 @@
     }
     assert_eq!(client.reply(), Reply::default(), "the empty one");
     assert!(client.ended());
-    stage.end();
+    test_proxy.end();
 }
 
-/// A client has sent more commands than the proxy reads at once, so some wait in the buffer as the listener closes. They are
-/// answered as well.
+/// A client has sent more commands than the pipelining limit, so some wait unread when the listener closes. They are answered
+/// as well.
 #[test]
 fn commands_over_the_pipelining_limit_are_answered_before_the_end() {
     let server = Listener::new();
-    let mut stage = stage(&server, |config| config.client_limits.max_pipelined = 1);
-    let mut idle = idle_client(&stage, &server);
-    let mut client = Peer::client(stage.address);
+    let mut test_proxy = test_proxy(&server, |config| config.client_limits.max_pipelined = 1);
+    let mut idle = idle_client(&test_proxy, &server);
+    let mut client = Peer::client(test_proxy.address);
     for id in 1..4 {
-        client.ask(&read(id, "any", 19000));
+        client.ask(&read_statement(id, "any", 19000));
     }
-    let mut upstream = server.welcome();
+    let mut upstream = server.accept_session();
     upstream.query();
-    stop(&stage, &mut idle);
+    stop(&test_proxy, &mut idle);
     for value in ["one", "two", "three"] {
         upstream.answer(value, &[]);
         assert_eq!(client.reply().value.as_deref(), Some(value));
@@ -394,146 +404,157 @@
         }
     }
     assert!(client.ended());
-    stage.end();
+    test_proxy.end();
 }
 
-/// Half of a request had come when the listener closed. The other half comes later, and the request is served.
+/// Half of a request has arrived when the listener closes. The other half arrives later, and the request is served.
 #[test]
 fn a_request_that_is_half_read_at_the_stop_is_served() {
     let server = Listener::new();
-    let mut stage = stage(&server, |config| {
-        config.client_limits.first_request = PATIENCE
+    let mut test_proxy = test_proxy(&server, |config| {
+        config.client_limits.first_request = TEST_TIMEOUT
     });
-    // Looked at before the other when the listener closes.
-    let mut client = Peer::client(stage.address);
-    // One that has asked before is not given time for a first request.
-    drop(served(&mut client, &server, 1, "one"));
-    let mut idle = idle_client(&stage, &server);
-    let request = message(&read(2, "any", 19000));
+    // This client is handled before `idle` when the listener closes.
+    let mut client = Peer::client(test_proxy.address);
+    // After this request, the client is not granted the time for a first request.
+    drop(serve_request(&mut client, &server, 1, "one"));
+    let mut idle = idle_client(&test_proxy, &server);
+    let request = message(&read_statement(2, "any", 19000));
     client.write(&request[..40]);
-    // A welcome on another connection: what came before it has been read.
-    drop(Peer::client(stage.address));
-    stop(&stage, &mut idle);
+    // Once another client is greeted, the program has read all earlier bytes.
+    drop(Peer::client(test_proxy.address));
+    stop(&test_proxy, &mut idle);
     client.write(&request[40..]);
-    served_last(&mut client, &server, "whole");
+    serve_next_request(&mut client, &server, "whole");
     assert!(client.ended());
-    stage.end();
+    test_proxy.end();
 }
 
-/// A client reads slowly, and its socket does not take all of its answers at once. The program ends only after it has
-/// written all of them.
+/// A client reads so slowly that its socket buffer cannot hold all responses. The proxy ends only after it has written all of
+/// them.
 #[test]
 fn a_slow_reader_gets_all_of_its_answers() {
     // More than the sockets' buffers hold.
     const ANSWERS: u32 = 100;
     let value = "v".repeat(60 << 10);
     let server = Listener::new();
-    let mut stage = stage(&server, |config| {
+    let mut test_proxy = test_proxy(&server, |config| {
         (
             config.client_limits.max_pipelined,
             config.client_limits.max_unsent_bytes,
         ) = (1, 64 << 20)
     });
-    let mut idle = Peer::client(stage.address);
-    let mut client = Peer::client(stage.address);
-    let asked: Vec<u8> = (1..=ANSWERS)
-        .flat_map(|id| message(&read(id, "any", 19000)))
+    let mut idle = Peer::client(test_proxy.address);
+    let mut client = Peer::client(test_proxy.address);
+    let commands: Vec<u8> = (1..=ANSWERS)
+        .flat_map(|id| message(&read_statement(id, "any", 19000)))
         .collect();
-    client.write(&asked);
-    let (tell, told) = channel();
+    client.write(&commands);
+    let (notify, answered) = channel();
     let given = value.clone();
     thread::spawn(move || loop {
-        let (mut upstream, tell, given) = (server.welcome(), tell.clone(), given.clone());
+        let (mut upstream, notify, given) =
+            (server.accept_session(), notify.clone(), given.clone());
         thread::spawn(move || {
             while upstream.message().is_ok() {
                 upstream.answer(&given, &[]);
-                _ = tell.send(());
+                _ = notify.send(());
             }
         });
     });
-    told.iter().take(ANSWERS as usize).for_each(drop);
-    stop(&stage, &mut idle);
+    answered.iter().take(ANSWERS as usize).for_each(drop);
+    stop(&test_proxy, &mut idle);
     for _ in 0..ANSWERS {
         assert!(client.reply().value.as_ref() == Some(&value));
     }
     assert!(client.ended());
     drop(idle);
-    stage.end();
+    test_proxy.end();
 }
 
-/// A client sends a request just as the proxy ends its connection. The request is not read, so the client knows that nothing
-/// of it ran. Nor is the connection reset, which could destroy the answer before it on its way.
+/// A client sends a request just as the proxy closes its connection. The request is not read, so the client can conclude that
+/// it did not run. The connection is not reset, since a reset could destroy the previous response in transit.
 #[test]
 fn a_request_that_crosses_the_end_of_its_connection_is_left_unread() {
     let server = Listener::new();
-    let mut stage = stage(&server, |config| config.client_limits.linger = PATIENCE);
-    let mut idle = idle_client(&stage, &server);
-    stop(&stage, &mut idle);
-    idle.ask(&read(1, "any", 19000));
-    assert_eq!(idle.stream.read(&mut [0; 1]).unwrap(), 0, "still the end");
-    assert!(idle.stream.take_error().unwrap().is_none(), "no reset");
-    assert!(server.try_accept().is_none(), "nothing is sent on");
+    let mut test_proxy = test_proxy(&server, |config| config.client_limits.linger = TEST_TIMEOUT);
+    let mut idle = idle_client(&test_proxy, &server);
+    stop(&test_proxy, &mut idle);
+    idle.ask(&read_statement(1, "any", 19000));
+    assert_eq!(
+        idle.stream.read(&mut [0; 1]).unwrap(),
+        0,
+        "the connection must stay closed"
+    );
+    assert!(
+        idle.stream.take_error().unwrap().is_none(),
+        "the connection must not be reset"
+    );
+    assert!(
+        server.try_accept().is_none(),
+        "the request must not reach a server"
+    );
     drop(idle);
-    stage.end();
+    test_proxy.end();
 }
 
-/// The proxy is told to stop, and then to reload its configuration. The stop goes on with the settings that it began with.
+/// A reload after SIGTERM does not change the settings of the shutdown that is under way.
 #[test]
 fn a_reload_after_the_stop_does_not_change_the_stop() {
     let server = Listener::new();
     let mut program = program("", &server);
     let mut client = Peer::client(program.address);
-    client.ask(&read(1, "any", 3000));
-    let mut upstream = server.welcome();
+    client.ask(&read_statement(1, "any", 3000));
+    let mut upstream = server.accept_session();
     upstream.query();
     program.signal(Signal::TERM);
-    program.line("told to stop");
-    program.steer("drain {\n linger 5min\n}\n");
-    program.line("the configuration is reread");
+    program.wait_for_log_line("told to stop");
+    program.reload_operators_file("drain {\n linger 5min\n}\n");
+    program.wait_for_log_line("the configuration is reread");
     upstream.answer("one", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("one"));
     assert!(
         client.ended(),
-        "after the linger that counted when it was told"
+        "the program must end by the settings in effect at SIGTERM"
     );
     drop(client);
     assert!(program.child.wait().unwrap().success());
 }
 
-/// SIGHUP comes while the program reads its configuration for the first time. By default that signal ends a process, so the
-/// handlers have to be installed before.
+/// SIGHUP arrives while the program reads its configuration for the first time. The default action of that signal ends a
+/// process, so the handlers have to be installed before.
 #[test]
 fn a_reload_during_the_start_does_not_end_the_program() {
     let discovery = Listener::new();
-    let place = Scratch::new("");
-    std::fs::remove_file(&place.0).unwrap();
+    let config_fifo = TempFile::new("");
+    std::fs::remove_file(&config_fifo.0).unwrap();
     assert!(Command::new("mkfifo")
-        .arg(&place.0)
+        .arg(&config_fifo.0)
         .status()
         .unwrap()
         .success());
     let mut child = Command::new(env!("CARGO_BIN_EXE_leverproxy"))
         .arg("serve")
-        .env("LB_CONFIG", &place.0)
+        .env("LB_CONFIG", &config_fifo.0)
         .env("LB_LISTEN", "127.0.0.1:0")
         .env("LB_DISCOVERY", discovery.address.to_string())
         .env_remove("LB_OPERATORS")
         .spawn()
         .unwrap();
-    // Opens once the program reads there.
-    let mut file = std::fs::File::create(&place.0).unwrap();
+    // Opening the FIFO blocks until the program opens it for reading.
+    let mut file = std::fs::File::create(&config_fifo.0).unwrap();
     let pid = Pid::from_child(&child);
     kill_process(pid, Signal::HUP).unwrap();
     file.write_all(format!(r#"{{"settings":{SETTINGS}}}"#).as_bytes())
         .unwrap();
     drop(file);
-    discovery.accept().watch();
+    discovery.accept().accept_watch();
     kill_process(pid, Signal::TERM).unwrap();
     assert!(child.wait().unwrap().success());
 }
 
-/// Clients send bytes that are no messages, and statements that are no requests. Only their own connections end. Each is
-/// counted, and the log has a line about them once a second at most.
+/// Clients send malformed messages, which end their own connections alone, and statements that are not requests. Each is
+/// counted, and the log has at most one line a second about them.
 #[test]
 fn malformed_input_is_counted_and_its_log_is_rate_limited() {
     const EACH: usize = 20;
@@ -552,15 +573,15 @@
         assert_eq!(client.reply().code.as_deref(), Some("08P01"));
         assert!(client.ended());
     }
-    drop(served(&mut bystander, &server, 1, "as ever"));
+    drop(serve_request(&mut bystander, &server, 1, "as ever"));
     drop((bystander, client, clients));
     program.signal(Signal::TERM);
-    let log = program.rest();
-    let told = log
+    let log = program.remaining_log();
+    let warnings = log
         .iter()
         .filter(|line| line.contains("not understood:"))
         .count();
-    assert!((1..EACH).contains(&told), "{log:#?}");
+    assert!((1..EACH).contains(&warnings), "{log:#?}");
     for figure in ["statements not understood 20", "clients rejected 20;"] {
         assert!(log.iter().any(|line| line.contains(figure)), "{log:#?}");
     }
--- a/crates/leverproxy/tests/discovery.rs
+++ b/crates/leverproxy/tests/discovery.rs
@@ -1,7 +1,10 @@
-//! Lists as discovery may send them, whole and broken: what counts, and when the next call is made.
+//! Complete, cut and malformed endpoint lists from discovery: which objects are applied, and when the next call is made.
 
 mod common;
-use common::{read, served, Listener, Peer, Program, Reply, Scratch, Stage, PATIENCE};
+use common::{
+    read_statement, serve_request, Listener, Peer, Program, Reply, TempFile, TestProxy,
+    TEST_TIMEOUT,
+};
 use discovery_schedule::{
     DIAL_TIMEOUT, MAX_RETRY_DELAY, OBJECT_TIMEOUT, SILENCE_TIMEOUT, WATCH_RECONNECT_DELAY,
 };
@@ -17,7 +20,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How a body is transferred.
+/// Framing of an HTTP body.
 #[derive(Clone, Copy, Debug)]
 enum Framing {
     Chunked,
@@ -28,7 +31,7 @@
 const FRAMINGS: [Framing; 3] = [Framing::Chunked, Framing::Length, Framing::NoLength];
 
 impl Framing {
-    /// The beginning of an answer with this body, of which so many bytes are still to come.
+    /// Start of a response with `body`, whose framing announces `missing` more bytes.
     fn answer(self, body: &str, missing: usize) -> String {
         let length = body.len() + missing;
         match self {
@@ -41,7 +44,7 @@
     }
 }
 
-/// A list on one line, or over many.
+/// An endpoint list as JSON on one line.
 fn list(index: u64, snapshot: bool, entries: &[String]) -> String {
     format!(
         r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#,
@@ -55,14 +58,14 @@
         .replace('}', "\n}")
 }
 
-/// The connection is reset, with what has been written before it.
+/// Closes the connection with a reset.
 fn reset(peer: Peer) -> Option<Peer> {
     sockopt::set_socket_linger(&peer.stream, Some(Duration::ZERO)).unwrap();
     None
 }
 
-/// The next call, with the index after which it asks for changes.
-fn call(discovery: &Listener) -> (Peer, u64) {
+/// Accepts the next watch call; returns the index after which it requests changes.
+fn accept_call(discovery: &Listener) -> (Peer, u64) {
     let mut peer = discovery.accept();
     let head = peer.head();
     let line = head.lines().next().unwrap();
@@ -74,28 +77,28 @@
     (peer, index.parse().unwrap())
 }
 
-/// Ends the watch of a stage; the next call.
-fn again(stage: &mut Stage, index: u64) -> Peer {
-    stage.watch.stream.shutdown(Shutdown::Both).unwrap();
-    let (next, after) = call(&stage.discovery);
+/// Closes the watch of a proxy; returns the connection of the next call, which must continue after `index`.
+fn restart_watch(test_proxy: &mut TestProxy, index: u64) -> Peer {
+    test_proxy.watch.stream.shutdown(Shutdown::Both).unwrap();
+    let (next, after) = accept_call(&test_proxy.discovery);
     assert_eq!(after, index);
     next
 }
 
-/// A complete list is applied whatever its form is, and the next call continues from it.
+/// A complete list is applied in every framing and layout, and the next call continues from its index.
 #[test]
 fn a_complete_list_is_applied_in_any_form() {
     for framing in FRAMINGS {
         for form in [str::to_owned, indented] {
             let server = Listener::new();
-            let mut stage = Stage::new(&[]);
-            let mut peer = again(&mut stage, 41);
-            let whole = form(&list(57, true, &[server.listed("s-1", "Ready")]));
+            let mut test_proxy = TestProxy::new(&[]);
+            let mut peer = restart_watch(&mut test_proxy, 41);
+            let whole = form(&list(57, true, &[server.endpoint_entry("s-1", "Ready")]));
             peer.write(framing.answer(&whole, 0).as_bytes());
-            let mut client = Peer::client(stage.address);
-            served(&mut client, &server, 1, "listed");
-            stage.watch = peer;
-            again(&mut stage, 57);
+            let mut client = Peer::client(test_proxy.address);
+            serve_request(&mut client, &server, 1, "listed");
+            test_proxy.watch = peer;
+            restart_watch(&mut test_proxy, 57);
         }
     }
 }
@@ -106,48 +109,48 @@
 fn of_a_response_cut_by_a_reset_only_complete_objects_count() {
     for framing in FRAMINGS {
         let (first, second) = (Listener::new(), Listener::new());
-        let mut stage = Stage::new(&[("s-1", &first), ("s-2", &second)]);
-        let mut peer = again(&mut stage, 41);
-        // Cut behind a whole entry: the first record server would be gone by it.
-        let half = list(58, true, &[second.listed("s-2", "Ready")]);
+        let mut test_proxy = TestProxy::new(&[("s-1", &first), ("s-2", &second)]);
+        let mut peer = restart_watch(&mut test_proxy, 41);
+        // Cut after a complete entry. Applied as a snapshot, this list would remove the first record server.
+        let half = list(58, true, &[second.endpoint_entry("s-2", "Ready")]);
         peer.write(
             framing
                 .answer(half.strip_suffix("]}").unwrap(), 2)
                 .as_bytes(),
         );
         reset(peer);
-        let (mut peer, after) = call(&stage.discovery);
-        assert_eq!(after, 41, "{framing:?}: half a list is none");
-        let drain = list(59, false, &[second.listed("s-2", "Terminating")]);
+        let (mut peer, after) = accept_call(&test_proxy.discovery);
+        assert_eq!(after, 41, "{framing:?}: half a list must not be applied");
+        let drain = list(59, false, &[second.endpoint_entry("s-2", "Terminating")]);
         peer.write(
             framing
                 .answer(&format!("{drain}\n{half:.40}"), 100)
                 .as_bytes(),
         );
         reset(peer);
-        let (_peer, after) = call(&stage.discovery);
-        assert_eq!(after, 59, "{framing:?}: what came whole counts");
-        let mut client = Peer::client(stage.address);
-        let mut upstream = served(&mut client, &first, 1, "first");
+        let (_peer, after) = accept_call(&test_proxy.discovery);
+        assert_eq!(after, 59, "{framing:?}: complete objects must be applied");
+        let mut client = Peer::client(test_proxy.address);
+        let mut upstream = serve_request(&mut client, &first, 1, "first");
         for id in 2..8 {
-            client.ask(&read(id, "any", 19000));
+            client.ask(&read_statement(id, "any", 19000));
             upstream.query();
             upstream.answer("first", &[]);
             assert_eq!(client.reply().value.as_deref(), Some("first"));
         }
         assert!(
             second.try_accept().is_none(),
-            "{framing:?}: the drain is heeded"
+            "{framing:?}: the drained server must get no requests"
         );
     }
 }
 
-/// A list is applied as soon as it is complete, also with the beginning of the next one or malformed bytes behind it.
+/// A list is applied as soon as it is complete, even if the start of the next one or malformed bytes follow it.
 #[test]
 fn a_list_is_applied_whatever_follows_it() {
     let server = Listener::new();
     let listed: Vec<String> = (0..100)
-        .map(|n| server.listed(&format!("s-{n}"), "Ready"))
+        .map(|n| server.endpoint_entry(&format!("s-{n}"), "Ready"))
         .collect();
     let whole = list(57, true, &listed);
     let (begin, end) = whole.split_at(whole.len() - 5);
@@ -156,68 +159,75 @@
         assert_eq!(parts, []);
         assert_eq!(reader.parse(text.as_bytes(), &mut parts), Ok(text.len()));
     }
-    assert_eq!(parts, [Part::Object(whole)], "before the next one is whole");
-    let mut stage = Stage::new(&[]);
-    let mut peer = again(&mut stage, 41);
-    let drain = list(58, false, &[server.listed("s-1", "Terminating")]);
+    assert_eq!(
+        parts,
+        [Part::Object(whole)],
+        "the list must be parsed before the next one is complete"
+    );
+    let mut test_proxy = TestProxy::new(&[]);
+    let mut peer = restart_watch(&mut test_proxy, 41);
+    let drain = list(58, false, &[server.endpoint_entry("s-1", "Terminating")]);
     peer.write(
         Framing::Length
             .answer(&format!("{drain}<html>"), 0)
             .as_bytes(),
     );
-    let (mut peer, after) = call(&stage.discovery);
-    assert_eq!(after, 58, "before what is no JSON");
-    let drain = list(59, false, &[server.listed("s-2", "Terminating")]);
+    let (mut peer, after) = accept_call(&test_proxy.discovery);
+    assert_eq!(after, 58, "the list before invalid JSON must be applied");
+    let drain = list(59, false, &[server.endpoint_entry("s-2", "Terminating")]);
     let text = format!(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{drain}xx\r\n",
         drain.len()
     );
     peer.write(text.as_bytes());
-    let (mut peer, after) = call(&stage.discovery);
-    assert_eq!(after, 59, "before chunks that are cut wrongly");
+    let (mut peer, after) = accept_call(&test_proxy.discovery);
+    assert_eq!(
+        after, 59,
+        "the list before a malformed chunk must be applied"
+    );
     let text = format!("{}{{\"index\":\"soon\"}}", list(60, false, &[]));
     peer.write(Framing::NoLength.answer(&text, 0).as_bytes());
     assert_eq!(
-        call(&stage.discovery).1,
+        accept_call(&test_proxy.discovery).1,
         60,
-        "before an object that is no list"
+        "the list before an invalid list must be applied"
     );
 }
 
-/// Discovery rejects calls: each is followed by another one, and the known list stays in use.
+/// A call that discovery rejects is repeated, and the last known list stays in use.
 #[test]
 fn a_rejected_call_is_made_again() {
     let server = Listener::new();
-    let mut stage = Stage::new(&[("s-1", &server)]);
-    let mut peer = again(&mut stage, 41);
+    let mut test_proxy = TestProxy::new(&[("s-1", &server)]);
+    let mut peer = restart_watch(&mut test_proxy, 41);
     for answer in [
         "HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nbusy",
         "HTTP/1.1 503 Busy\r\n\r\n",
         "SSH-2.0\r\n",
     ] {
         peer.write(answer.as_bytes());
-        let (next, after) = call(&stage.discovery);
+        let (next, after) = accept_call(&test_proxy.discovery);
         assert_eq!(after, 41);
         peer = next;
     }
-    let mut client = Peer::client(stage.address);
-    served(&mut client, &server, 1, "known");
+    let mut client = Peer::client(test_proxy.address);
+    serve_request(&mut client, &server, 1, "known");
 }
 
-/// The discovery client alone, on a clock that the test sets.
-struct ClientAlone {
+/// The discovery client without a proxy, on a clock that the test sets.
+struct StandaloneClient {
     reactor: Reactor,
     discovery: DiscoveryClient,
     now: Instant,
     listener: Listener,
 }
 
-impl ClientAlone {
-    fn new(pushed: bool) -> ClientAlone {
+impl StandaloneClient {
+    fn new(pushed: bool) -> StandaloneClient {
         let (reactor, listener, now) = (Reactor::new().unwrap(), Listener::new(), Instant::now());
         let mut discovery = DiscoveryClient::new(listener.address, SILENCE_TIMEOUT, pushed, now);
         discovery.poll(1, now, &reactor);
-        ClientAlone {
+        StandaloneClient {
             reactor,
             discovery,
             now,
@@ -226,12 +236,12 @@
     }
 
     /// Waits for the next event and passes it to the client.
-    fn step(&mut self) {
+    fn dispatch_events(&mut self) {
         let mut ready = Vec::new();
         self.reactor
-            .wait(Some(Instant::now() + PATIENCE), &mut ready)
+            .wait(Some(Instant::now() + TEST_TIMEOUT), &mut ready)
             .unwrap();
-        assert!(!ready.is_empty(), "nothing comes");
+        assert!(!ready.is_empty(), "no event arrived");
         for event in &ready {
             let Token::Discovery(key) = event.token else {
                 panic!("{event:?}")
@@ -240,27 +250,27 @@
         }
     }
 
-    /// What the client reports next.
+    /// Waits for the next event that the client reports.
     fn next_event(&mut self) -> WatchEvent {
         loop {
             if let Some(next_event) = self.discovery.pop_event() {
                 return next_event;
             }
-            self.step();
+            self.dispatch_events();
         }
     }
 
     /// Accepts the connection and reads the call.
-    fn called(&mut self) -> Peer {
+    fn accept_call(&mut self) -> Peer {
         let mut peer = self.listener.accept();
-        self.step();
+        self.dispatch_events();
         peer.head();
         peer
     }
 
     /// Advances the clock to the next timer and fires it; returns the time until then.
-    fn due(&mut self) -> Duration {
-        // A timer that is set stays set, so each one is returned once.
+    fn fire_next_timer(&mut self) -> Duration {
+        // A timer that is set stays set, so `next_timer` returns each one once.
         let due = self.discovery.next_timer().unwrap();
         let after = due.saturating_duration_since(self.now);
         self.now = due;
@@ -269,53 +279,61 @@
     }
 }
 
-/// A watch or a call falls silent, at any point of the response. It counts as lost, and the next call is made at once.
+/// A call or watch on which nothing arrives any more, at any point of the response, is reported as lost, and the next call is
+/// made at once.
 #[test]
 fn silence_ends_a_call() {
-    for begun in [
+    for response_start in [
         "",
         "HTTP/1.1 200 OK\r\n\r\n",
         "HTTP/1.1 200 OK\r\n\r\n{\"index\":3",
         "HTTP/1.1 200 OK\r\n\r\n{}",
     ] {
-        let mut client = ClientAlone::new(false);
-        let mut peer = client.called();
-        peer.write(begun.as_bytes());
-        if begun.ends_with("{}") {
+        let mut client = StandaloneClient::new(false);
+        let mut peer = client.accept_call();
+        peer.write(response_start.as_bytes());
+        if response_start.ends_with("{}") {
             assert!(matches!(client.next_event(), WatchEvent::List(_)));
         }
-        assert!(client.due() <= SILENCE_TIMEOUT);
-        assert!(matches!(client.next_event(), WatchEvent::Lost), "{begun:?}");
+        assert!(client.fire_next_timer() <= SILENCE_TIMEOUT);
+        assert!(
+            matches!(client.next_event(), WatchEvent::Lost),
+            "{response_start:?}"
+        );
         assert!(peer.ended());
-        client.called();
+        client.accept_call();
     }
 }
 
-/// A dial hangs, or a response trickles without end. The call is abandoned, and the next one is made at once.
+/// A call whose dial hangs, or whose response arrives byte by byte without a complete object, is abandoned, and the next call
+/// is made at once.
 #[test]
 fn a_call_without_a_complete_object_is_abandoned() {
-    let mut client = ClientAlone::new(false);
-    assert_eq!(client.due(), DIAL_TIMEOUT);
+    let mut client = StandaloneClient::new(false);
+    assert_eq!(client.fire_next_timer(), DIAL_TIMEOUT);
     assert!(matches!(client.next_event(), WatchEvent::Lost));
     let _abandoned = client.listener.accept();
-    let mut peer = client.called();
+    let mut peer = client.accept_call();
     peer.write(b"HTTP/1.1 200 OK\r\n\r\n{");
-    let begun = client.now;
+    let started_at = client.now;
     for _ in 0..100 {
         peer.write(b" ");
-        client.step();
+        client.dispatch_events();
         client.now += Duration::from_millis(50);
     }
-    assert_eq!(client.due() + (client.now - begun), OBJECT_TIMEOUT);
+    assert_eq!(
+        client.fire_next_timer() + (client.now - started_at),
+        OBJECT_TIMEOUT
+    );
     assert!(matches!(client.next_event(), WatchEvent::Lost));
-    client.called();
+    client.accept_call();
 }
 
-/// Where the list is polled, a failure is reported to the module that orders calls; if it orders none, the next call is made
-/// in time all the same.
+/// Where the list is polled, a failure is reported to the module that schedules the calls. If that module schedules none, the
+/// next call is made after the maximum retry delay.
 #[test]
 fn the_next_call_after_a_failure_is_made_in_time() {
-    // The peer stays open behind what it says; one that says nothing is reset.
+    // The connection stays open after a non-empty response, and is reset without one.
     for end in [
         "",
         "HTTP/1.1 503 Busy\r\n\r\n",
@@ -323,8 +341,8 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{ \n",
     ] {
         for (pushed, again) in [(false, MAX_RETRY_DELAY), (true, WATCH_RECONNECT_DELAY)] {
-            let mut client = ClientAlone::new(pushed);
-            let mut peer = client.called();
+            let mut client = StandaloneClient::new(pushed);
+            let mut peer = client.accept_call();
             peer.write(end.as_bytes());
             let _open = if end.is_empty() {
                 reset(peer)
@@ -332,79 +350,82 @@
                 Some(peer)
             };
             assert!(matches!(client.next_event(), WatchEvent::Lost));
-            let told = client.discovery.pop_event();
+            let call_failed = client.discovery.pop_event();
             assert_eq!(
-                matches!(told, Some(WatchEvent::CallFailed)),
+                matches!(call_failed, Some(WatchEvent::CallFailed)),
                 !pushed,
-                "{told:?}"
+                "{call_failed:?}"
             );
-            assert_eq!(client.due(), again);
-            client.called();
+            assert_eq!(client.fire_next_timer(), again);
+            client.accept_call();
         }
     }
 }
 
-/// A poll that was ordered before discovery moved must not cut off the watch that is open at the new address.
+/// A poll that was requested before discovery's address changed must not close the watch that is open at the new address.
 #[test]
 fn a_poll_while_a_call_is_open_changes_nothing() {
-    let mut client = ClientAlone::new(false);
-    reset(client.called());
+    let mut client = StandaloneClient::new(false);
+    reset(client.accept_call());
     assert!(matches!(client.next_event(), WatchEvent::Lost));
     assert!(matches!(client.next_event(), WatchEvent::CallFailed));
     client.listener = Listener::new();
     client
         .discovery
         .set_address(client.listener.address, 1, client.now, &client.reactor);
-    let mut peer = client.called();
+    let mut peer = client.accept_call();
     client.discovery.poll(1, client.now, &client.reactor);
     peer.write(Framing::Chunked.answer(&list(2, true, &[]), 0).as_bytes());
     let WatchEvent::List(listing) = client.next_event() else {
-        panic!("the watch is cut off")
+        panic!("the poll closed the watch at the new address")
     };
     assert_eq!(listing.index, 2);
 }
 
-/// Under a real limit of descriptors, silent clients hold all connections that clients may have. Discovery (with two
-/// watches), record servers and operators still get their descriptors, whether the configuration states the limit or more
-/// than it.
+/// Under a real descriptor limit, silent clients hold all connections that clients may have. Discovery (with two watches),
+/// record servers and operators still get their descriptors, whether the configured socket limit equals the real one or
+/// exceeds it.
 #[test]
 fn many_silent_clients_take_no_descriptor_that_others_need() {
     for stated in ["limits {\n sockets 128\n}", ""] {
         let (server, elsewhere) = (Listener::new(), Listener::new());
-        let mut program = Program::under("export LB_ADMIN=127.0.0.1:0; ulimit -n 128;", stated);
-        let line = program.line("admin: answering calls on ");
+        let mut program =
+            Program::with_operators_file("export LB_ADMIN=127.0.0.1:0; ulimit -n 128;", stated);
+        let line = program.wait_for_log_line("admin: answering calls on ");
         let admin = line.rsplit(' ').next().unwrap().parse().unwrap();
-        program.watch.tell(57, &[server.listed("s-1", "Ready")]);
+        program
+            .watch
+            .send_list(57, &[server.endpoint_entry("s-1", "Ready")]);
         let mut client = Peer::client(program.address);
-        let upstream = served(&mut client, &server, 1, "before");
+        let upstream = serve_request(&mut client, &server, 1, "before");
         let crowd: Vec<Peer> = (0..200).map(|_| Peer::connect(program.address)).collect();
-        // The crowd is let in before these are taken up.
+        // Once this client is answered, the proxy has accepted the silent clients before it.
         let mut last = Peer::client(program.address);
         last.ask("");
         assert_eq!(last.reply(), Reply::default());
         program.reload(&format!(r#""discovery":"{}","#, elsewhere.address));
         for _ in 0..3 {
-            let (peer, after) = call(&elsewhere);
+            let (peer, after) = accept_call(&elsewhere);
             assert_eq!(after, 57);
             assert_eq!(common::get(admin, "/api/telemetry").0, 200);
             reset(peer);
         }
-        upstream.leave();
-        served(&mut client, &server, 2, "new connection");
+        upstream.close_and_wait();
+        serve_request(&mut client, &server, 2, "new connection");
         drop(crowd);
     }
 }
 
-/// A proxy in a process of its own, with discovery and record servers that are not scripted.
-struct Started {
+/// A proxy in a process of its own, with given addresses of discovery and of a record server.
+struct ProxyProcess {
     child: Child,
-    /// Lines of its log, which another thread reads: one that never serves is not waited for.
+    /// Lines of the log. Another thread reads them, so that waiting for a line has a timeout.
     log: Receiver<String>,
-    _file: Scratch,
+    _file: TempFile,
 }
 
-impl Started {
-    fn new(discovery: SocketAddr, server: SocketAddr, pushed: bool) -> Started {
+impl ProxyProcess {
+    fn new(discovery: SocketAddr, server: SocketAddr, pushed: bool) -> ProxyProcess {
         let mode = if pushed { "pushed" } else { "on_request" };
         let settings = common::SETTINGS.replace("\"on_request\"", &format!("\"{mode}\""));
         let settings = settings.replace("\"Balancers\": 1", "\"Balancers\": 300");
@@ -412,7 +433,7 @@
             r#"{{"name":"s-1","address":"{server}","zone":"a","type":"m","group":3,"status":"Ready","since_ms":0}}"#
         );
         let known = list(41, true, &[entry]);
-        let file = Scratch::new(&format!(r#"{{"known":{known},"settings":{settings}}}"#));
+        let file = TempFile::new(&format!(r#"{{"known":{known},"settings":{settings}}}"#));
         let mut child = Command::new(env!("CARGO_BIN_EXE_leverproxy"))
             .arg("serve")
             .env("LB_CONFIG", &file.0)
@@ -430,7 +451,7 @@
                 .map_while(Result::ok)
                 .try_for_each(|line| send.send(line))
         });
-        Started {
+        ProxyProcess {
             child,
             log,
             _file: file,
@@ -439,7 +460,10 @@
 
     fn address(&mut self) -> SocketAddr {
         let line = loop {
-            let line = self.log.recv_timeout(PATIENCE).expect("it serves");
+            let line = self
+                .log
+                .recv_timeout(TEST_TIMEOUT)
+                .expect("the proxy does not serve");
             if line.contains("serving on ") {
                 break line;
             }
@@ -448,30 +472,36 @@
     }
 }
 
-impl Drop for Started {
+impl Drop for ProxyProcess {
     fn drop(&mut self) {
         _ = self.child.kill();
         _ = self.child.wait();
     }
 }
 
-/// Many proxies start at once and become ready at once, while record servers refuse connections and discovery is down,
-/// silent, or slower than a call waits, with lists pushed and polled.
+/// Many proxies that start at the same time become ready at once, with pushed and with polled lists, while record servers
+/// refuse connections and discovery refuses connections, sends nothing, or does not complete the dial.
 #[test]
 fn proxies_that_start_together_become_ready_whatever_discovery_does() {
-    let nobody = TcpListener::bind("127.0.0.1:0")
+    let closed_port = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
     let silent = Listener::new();
-    // One connection fills its backlog, and further dials hang.
-    let hung = TcpListener::bind("127.0.0.1:0").unwrap();
-    rustix::net::listen(&hung, 0).unwrap();
-    let hung_at = hung.local_addr().unwrap();
-    let _filled = TcpStream::connect(hung_at).unwrap();
-    let begun = Instant::now();
-    let mut started: Vec<Started> = (0..24)
-        .map(|n| Started::new([nobody, silent.address, hung_at][n % 3], nobody, n % 2 == 0))
+    // One connection fills the backlog, so further dials hang.
+    let full_backlog = TcpListener::bind("127.0.0.1:0").unwrap();
+    rustix::net::listen(&full_backlog, 0).unwrap();
+    let full_backlog_address = full_backlog.local_addr().unwrap();
+    let _filled = TcpStream::connect(full_backlog_address).unwrap();
+    let started_at = Instant::now();
+    let mut started: Vec<ProxyProcess> = (0..24)
+        .map(|n| {
+            ProxyProcess::new(
+                [closed_port, silent.address, full_backlog_address][n % 3],
+                closed_port,
+                n % 2 == 0,
+            )
+        })
         .collect();
     for (n, one) in started.iter_mut().enumerate() {
         let address = one.address();
@@ -479,9 +509,9 @@
         client.ask("");
         assert_eq!(client.message().unwrap().0, b'I', "EmptyQueryResponse");
         assert!(
-            begun.elapsed() < PATIENCE,
+            started_at.elapsed() < TEST_TIMEOUT,
             "number {n} after {:?}",
-            begun.elapsed()
+            started_at.elapsed()
         );
     }
 }
--- a/crates/leverproxy/tests/wall_clock.rs
+++ b/crates/leverproxy/tests/wall_clock.rs
@@ -1,8 +1,8 @@
-//! The wall clock is wrong when the process starts, or is stepped while it runs. The machine's clock stays as it is:
-//! the proxy reads one that the test sets.
+//! The wall clock is wrong when the process starts, or is stepped while it runs. The proxy reads a clock that the test sets;
+//! the machine's clock stays as it is.
 
 mod common;
-use common::{Peer, Stage, PATIENCE};
+use common::{Peer, TestProxy, TEST_TIMEOUT};
 use leverproxy::clock::skew::{ReportedPosition, SkewEstimate};
 use leverproxy::clock::{Clock, WallClock};
 use leverproxy::discovery::wire::EndpointList;
@@ -18,13 +18,13 @@
 const MS: Duration = Duration::from_millis(1);
 const HOUR_MS: i64 = 3_600_000;
 
-// ---- The clock, and what is known of its error ----
+// ---- The clock and the estimate of its error ----
 
-/// A clock that is off by a number of milliseconds, which the test may change.
-fn wall(off: &Arc<AtomicI64>) -> WallClock {
-    let off = off.clone();
+/// A wall clock that differs from the machine's by `clock_offset` milliseconds, which the test may change.
+fn offset_wall_clock(clock_offset: &Arc<AtomicI64>) -> WallClock {
+    let clock_offset = clock_offset.clone();
     WallClock::new(move || {
-        let ms = off.load(Ordering::SeqCst);
+        let ms = clock_offset.load(Ordering::SeqCst);
         let span = Duration::from_millis(ms.unsigned_abs());
         if ms < 0 {
             SystemTime::now() - span
@@ -34,16 +34,16 @@
     })
 }
 
-fn off(ms: i64) -> Arc<AtomicI64> {
+fn clock_offset(ms: i64) -> Arc<AtomicI64> {
     Arc::new(AtomicI64::new(ms))
 }
 
-/// Spans on the process's clock are those of the monotonic clock, whatever the system's does.
+/// The process's clock advances with the monotonic clock, whatever steps the system clock makes.
 #[test]
 fn a_step_moves_no_instant_of_the_process() {
     for step in [2_000, -2_000, HOUR_MS, -HOUR_MS] {
-        let system = off(0);
-        let clock = Clock::start(wall(&system));
+        let system = clock_offset(0);
+        let clock = Clock::start(offset_wall_clock(&system));
         let instants = [Instant::now(), Instant::now() + 90 * MS];
         let before = instants.map(|at| clock.unix_time(at));
         system.store(step, Ordering::SeqCst);
@@ -68,15 +68,15 @@
     }
 }
 
-/// A clock before 1970, as that of a machine without a battery may be, is taken for 1970.
+/// A clock before 1970, as on a machine without a battery-backed clock, is treated as 1970.
 #[test]
 fn a_clock_before_1970_is_no_fault() {
     let clock = Clock::start(WallClock::new(|| UNIX_EPOCH - Duration::from_secs(5)));
-    assert!(clock.unix_time(Instant::now()) < Time(PATIENCE));
+    assert!(clock.unix_time(Instant::now()) < Time(TEST_TIMEOUT));
     assert!(clock.system_lead().is_zero());
 }
 
-/// The present of these tests, by the process's clock.
+/// Current time of these tests by the process's clock.
 const NOW: Time = Time(Duration::from_secs(1_800_000_000));
 
 fn replica(server: u32, ahead: Duration) -> ReportedPosition {
@@ -87,7 +87,7 @@
     }
 }
 
-/// A primary's report that took 5 ms, with true time this far ahead.
+/// Report of a primary whose response took 5 ms, with true time ahead of the process's clock by `ahead`.
 fn primary(server: u32, ahead: Duration) -> ReportedPosition {
     ReportedPosition {
         read_after: Some(NOW.minus(5 * MS)),
@@ -95,7 +95,7 @@
     }
 }
 
-fn heard(reports: &[ReportedPosition]) -> SkewEstimate {
+fn estimate_from(reports: &[ReportedPosition]) -> SkewEstimate {
     let mut estimate = SkewEstimate::default();
     reports
         .iter()
@@ -105,56 +105,56 @@
 
 #[test]
 fn without_evidence_the_clock_counts() {
-    let estimate = heard(&[primary(1, Duration::ZERO), replica(2, Duration::ZERO)]);
+    let estimate = estimate_from(&[primary(1, Duration::ZERO), replica(2, Duration::ZERO)]);
     assert_eq!(estimate.lead(NOW), Duration::ZERO);
     assert_eq!(estimate.latest_position(NOW), NOW.plus(1_000 * MS));
 }
 
-/// Two servers that agree, or three reports of one server, prove that the clock is behind; from then on their positions
-/// are believed and staleness bounds are computed with them.
+/// Two servers that agree, or three reports of one server, prove that the clock is behind. From then on their positions are
+/// accepted and used to compute staleness bounds.
 #[test]
 fn a_clock_that_is_behind_is_detected() {
     for behind in [2_000 * MS, 5_000 * MS, 3_600_000 * MS] {
         let lag = 300 * MS;
-        for words in [
+        for reports in [
             vec![primary(1, behind), replica(2, behind - lag)],
             vec![replica(2, behind - lag), primary(1, behind)],
             vec![primary(1, behind); 3],
         ] {
-            let estimate = heard(&words);
+            let estimate = estimate_from(&reports);
             assert_eq!(
                 estimate.lead(NOW.plus(Duration::from_secs(600))),
                 behind,
-                "{words:?}"
+                "{reports:?}"
             );
             assert!(estimate.latest_position(NOW) >= NOW.plus(behind));
         }
     }
 }
 
-/// A single server reports a position that is wrong. It counts at once, but only for freshness needs and for a short time.
+/// A wrong position from a single server takes effect at once, but only for freshness needs and for a short time.
 #[test]
 fn one_wrong_position_counts_for_a_short_time_only() {
     for ahead in [400 * MS, 5_000 * MS, Duration::from_secs(1 << 40)] {
-        let mut estimate = heard(&[replica(1, ahead)]);
+        let mut estimate = estimate_from(&[replica(1, ahead)]);
         assert_eq!(estimate.lead(NOW), ahead);
         assert_eq!(
             estimate.latest_position(NOW),
             NOW.plus(1_000 * MS),
-            "its position is not believed"
+            "a single server's position must not be accepted"
         );
-        // A replica that says less takes back nothing of it.
+        // A replica with an earlier position does not revoke it.
         estimate.observe_position(replica(2, Duration::ZERO), NOW);
         assert_eq!(estimate.lead(NOW.plus(1_900 * MS)), ahead);
         assert_eq!(estimate.lead(NOW.plus(2_100 * MS)), Duration::ZERO);
     }
-    let spoilt: Vec<ReportedPosition> = (1..9).map(|n| replica(n, 10_000 * MS * n)).collect();
+    let contradicted: Vec<ReportedPosition> = (1..9).map(|n| replica(n, 10_000 * MS * n)).collect();
     assert_eq!(
-        heard(&spoilt).lead(NOW.plus(2_100 * MS)),
+        estimate_from(&contradicted).lead(NOW.plus(2_100 * MS)),
         Duration::ZERO,
-        "no two of them agree"
+        "no two servers agree, so no lead may last"
     );
-    let mut estimate = heard(&[replica(1, 5_000 * MS)]);
+    let mut estimate = estimate_from(&[replica(1, 5_000 * MS)]);
     let later = NOW.plus(Duration::from_secs(60));
     estimate.observe_position(
         ReportedPosition {
@@ -166,44 +166,48 @@
     assert_eq!(
         estimate.lead(later.plus(2_100 * MS)),
         Duration::ZERO,
-        "the first is forgotten by then"
+        "the first report must have expired"
     );
 }
 
-/// Two servers have reported wrong positions. Primaries revoke the lead by three contradictions in a row, not sooner.
+/// After wrong positions from two servers, primaries revoke the lead by three contradictions in a row, not sooner.
 #[test]
 fn primaries_revoke_what_they_contradict() {
-    let mut estimate = heard(&[replica(1, 5_000 * MS), replica(2, 5_000 * MS)]);
+    let mut estimate = estimate_from(&[replica(1, 5_000 * MS), replica(2, 5_000 * MS)]);
     estimate.observe_position(primary(3, Duration::ZERO), NOW);
     estimate.observe_position(primary(3, Duration::ZERO), NOW);
     assert_eq!(estimate.lead(NOW), 5_000 * MS);
     estimate.observe_position(primary(4, 5_000 * MS), NOW);
     estimate.observe_position(primary(3, Duration::ZERO), NOW);
     estimate.observe_position(primary(3, Duration::ZERO), NOW);
-    assert_eq!(estimate.lead(NOW), 5_000 * MS, "one has agreed in between");
+    assert_eq!(
+        estimate.lead(NOW),
+        5_000 * MS,
+        "an agreeing report must restart the count"
+    );
     estimate.observe_position(primary(3, 2 * MS), NOW);
     assert_eq!(
         estimate.lead(NOW),
         10 * MS,
-        "the most that they allow, in tens of milliseconds"
+        "the lead must fall to the highest that the primaries allow, rounded up to 10 ms"
     );
-    // A replica's old position contradicts nothing: it may lag.
-    let mut estimate = heard(&[primary(1, 5_000 * MS); 3]);
+    // A replica's old position does not contradict the lead, since a replica may lag.
+    let mut estimate = estimate_from(&[primary(1, 5_000 * MS); 3]);
     (0..9).for_each(|_| estimate.observe_position(replica(2, Duration::ZERO), NOW));
     assert_eq!(estimate.lead(NOW), 5_000 * MS);
 }
 
-/// Of two readings of the clock the later time counts, until primaries show that the system's clock is wrong.
+/// Of the clock read at the start and the system clock, the later one is used until primaries contradict the system clock.
 #[test]
 fn a_step_forward_counts_until_primaries_contradict_it() {
     for step in [2_000 * MS, 3_600_000 * MS] {
-        let mut estimate = heard(&[primary(1, Duration::ZERO)]);
+        let mut estimate = estimate_from(&[primary(1, Duration::ZERO)]);
         estimate.observe_system_clock(step);
         assert_eq!(estimate.lead(NOW), step);
         assert_eq!(
             estimate.latest_position(NOW),
             NOW.plus(1_000 * MS),
-            "no position is believed by it alone"
+            "the system clock alone must not make positions acceptable"
         );
         for _ in 0..3 {
             assert_eq!(estimate.lead(NOW), step);
@@ -214,20 +218,24 @@
         assert_eq!(
             estimate.lead(NOW),
             Duration::ZERO,
-            "the same reading stays refuted"
+            "the same offset must stay refuted"
         );
         estimate.observe_system_clock(step + 1_000 * MS);
         assert_eq!(
             estimate.lead(NOW),
             step + 1_000 * MS,
-            "another step is another reading"
+            "another step must be used again"
         );
         estimate.observe_system_clock(Duration::ZERO);
-        assert_eq!(estimate.lead(NOW), Duration::ZERO, "it was stepped back");
+        assert_eq!(
+            estimate.lead(NOW),
+            Duration::ZERO,
+            "a step back must remove the lead"
+        );
     }
 }
 
-/// A report may be old, and a slow response gives wide bounds: neither revokes a small lead nor supports one.
+/// A report with wide bounds, from a slow response, neither revokes a small lead nor supports one.
 #[test]
 fn reports_with_wide_bounds_neither_support_nor_contradict() {
     let slow = ReportedPosition {
@@ -238,32 +246,32 @@
     estimate.observe_system_clock(2_000 * MS);
     (0..9).for_each(|_| estimate.observe_position(slow, NOW));
     assert_eq!(estimate.lead(NOW), 2_000 * MS);
-    for word in [
+    for report in [
         primary(1, Duration::ZERO),
         slow,
         primary(1, Duration::ZERO),
         slow,
         primary(1, Duration::ZERO),
     ] {
-        estimate.observe_position(word, NOW);
+        estimate.observe_position(report, NOW);
     }
     assert_eq!(
         estimate.lead(NOW),
         Duration::ZERO,
-        "quick answers in a row, but for what says nothing"
+        "reports with wide bounds must not interrupt a row of contradictions"
     );
 }
 
-/// Machines whose clocks differ by milliseconds: needs stay as they are from one answer to the next.
+/// A lead of a few milliseconds is rounded up, so that freshness needs do not change from one response to the next.
 #[test]
 fn a_lead_of_milliseconds_is_rounded_up() {
-    let mut estimate = heard(&[primary(1, 2 * MS), primary(2, 3 * MS)]);
+    let mut estimate = estimate_from(&[primary(1, 2 * MS), primary(2, 3 * MS)]);
     assert_eq!(estimate.lead(NOW.plus(Duration::from_secs(60))), 10 * MS);
     (1..9).for_each(|ms| estimate.observe_position(primary(ms, MS * ms), NOW));
     assert_eq!(estimate.lead(NOW), 10 * MS);
 }
 
-/// The system's clock was corrected after the start: with it, the report of one server is enough.
+/// If the system clock was corrected after the start, it and the report of one server are enough evidence.
 #[test]
 fn the_system_clock_supports_a_servers_report() {
     let mut estimate = SkewEstimate::default();
@@ -274,7 +282,7 @@
     assert_eq!(estimate.lead(NOW), 4_800 * MS);
 }
 
-/// A client's position counts for its own read. For all others it needs a server or the system's clock beside it.
+/// A client's position applies to its own read. It affects other requests only if a server or the system clock supports it.
 #[test]
 fn a_client_alone_proves_nothing() {
     let after = NOW.plus(5_000 * MS);
@@ -286,8 +294,8 @@
     assert_eq!(estimate.lead(NOW.plus(Duration::from_secs(60))), 5_000 * MS);
 }
 
-/// A load report has a position that is not believed yet. The rest of it counts: without the role no write would find its
-/// primary.
+/// Of a load report whose position is not accepted yet, the other fields are used: without the role, writes would not find
+/// their primary.
 #[test]
 fn a_report_ahead_of_the_clock_still_gives_the_role() {
     let probed = |ahead: Duration| {
@@ -321,11 +329,11 @@
     assert_eq!(
         probed(Duration::from_secs(1 << 40)),
         (None, false),
-        "nothing in it can be true"
+        "an impossible position must invalidate the whole report"
     );
 }
 
-// ---- Stories ----
+// ---- Requests through a proxy with a wrong clock ----
 
 const SETTINGS: &str = r#"{"Balancers": 1, "Zones": ["a"], "HostTypes": ["m"],
  "Classes": [{"Name": "any", "Effect": "safe", "Deadline": 5000000, "GoalTime": 1000000, "LateValue": 0.5},
@@ -340,7 +348,7 @@
  "Realms": [{"Name": "acme", "QuotaPerS": 100.0}], "RegistryMode": "on_request",
  "Rules": {"StopSendingWithin": 500000, "StartCapacity": 1.0, "OverloadFactor": 2.0}}"#;
 
-/// True time: that of the machine.
+/// True time, which is the machine's, in milliseconds since 1970.
 fn true_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -348,40 +356,43 @@
         .as_millis() as u64
 }
 
-/// A record server that answers each query with its own name, and tells its position as it is then.
+/// A record server that answers each query with its own name and reports its current position.
 struct Server {
     address: SocketAddr,
-    /// Milliseconds by which its data is behind.
+    /// Milliseconds by which its data lags.
     lag: Arc<AtomicI64>,
-    /// It breaks the connection of the next query, after the test's clock is stepped by so much.
-    breaks: Arc<AtomicBool>,
+    /// If set, the server steps the test's clock at the next query and closes the connection.
+    reset_next_query: Arc<AtomicBool>,
 }
 
 impl Server {
     fn new(name: &'static str, lag_ms: i64, step: Option<(Arc<AtomicI64>, i64)>) -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (lag, breaks) = (off(lag_ms), Arc::new(AtomicBool::new(false)));
+        let (lag, reset_next_query) = (clock_offset(lag_ms), Arc::new(AtomicBool::new(false)));
         let server = Server {
             address,
             lag: lag.clone(),
-            breaks: breaks.clone(),
+            reset_next_query: reset_next_query.clone(),
         };
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (lag, breaks, step) = (lag.clone(), breaks.clone(), step.clone());
+                let (lag, reset_next_query, step) =
+                    (lag.clone(), reset_next_query.clone(), step.clone());
                 let mut peer = Peer::new(stream.unwrap());
                 thread::spawn(move || {
                     peer.startup();
                     while let Ok((b'Q', body)) = peer.message() {
                         let position = true_ms() - lag.load(Ordering::SeqCst).unsigned_abs();
-                        if !body.starts_with(b"SHOW load") && breaks.swap(false, Ordering::SeqCst) {
+                        if !body.starts_with(b"SHOW load")
+                            && reset_next_query.swap(false, Ordering::SeqCst)
+                        {
                             if let Some((clock, by)) = &step {
                                 clock.store(*by, Ordering::SeqCst);
                             }
                             break;
                         }
-                        if !answered(&mut peer, &body, name, position) {
+                        if !send_response(&mut peer, &body, name, position) {
                             break;
                         }
                     }
@@ -399,7 +410,7 @@
     }
 }
 
-fn answered(peer: &mut Peer, body: &[u8], name: &str, position: u64) -> bool {
+fn send_response(peer: &mut Peer, body: &[u8], name: &str, position: u64) -> bool {
     use std::io::Write;
     let (leads, at) = (name == "primary", position.to_string());
     let bytes = if body.starts_with(b"SHOW load") {
@@ -411,126 +422,134 @@
     peer.stream.write_all(&bytes).is_ok()
 }
 
-/// A proxy whose clock the test has set, between a primary and a replica.
-struct Scene {
-    _stage: Stage,
+/// A proxy with a clock that the test sets, and a primary and a replica behind it.
+struct ReplicatedPair {
+    _test_proxy: TestProxy,
     client: Peer,
     asked: u32,
     replica: Server,
 }
 
-impl Scene {
-    /// The clock as the proxy finds it, and as it is once a query is broken off.
-    fn new(clock: &Arc<AtomicI64>, step: i64, lag_ms: i64, settings: &str) -> Scene {
+impl ReplicatedPair {
+    /// `clock` is the offset at the start; `step` is the offset after the replica has broken off a query.
+    fn new(clock: &Arc<AtomicI64>, step: i64, lag_ms: i64, settings: &str) -> ReplicatedPair {
         let primary = Server::new("primary", 0, None);
         let replica = Server::new("replica", lag_ms, Some((clock.clone(), step)));
         let entries = [primary.entry("s-1"), replica.entry("s-2")].join(",");
         let known = format!(r#"{{"index":41,"snapshot":true,"endpoints":[{entries}]}}"#);
-        let stage = Stage::with(&[], |config| {
+        let test_proxy = TestProxy::with_config(&[], |config| {
             config.known = EndpointList::parse(known.as_bytes()).unwrap();
             config.platform = platform_settings::decode(settings.as_bytes()).unwrap();
-            config.wall_clock = wall(clock);
+            config.wall_clock = offset_wall_clock(clock);
         });
-        let client = Peer::client(stage.address);
-        Scene {
-            _stage: stage,
+        let client = Peer::client(test_proxy.address);
+        ReplicatedPair {
+            _test_proxy: test_proxy,
             client,
             asked: 0,
             replica,
         }
     }
 
-    /// Who has answered.
-    fn ask(&mut self, class: &str, more: &str) -> String {
+    /// Sends a query; returns the name of the server that answered.
+    fn ask(&mut self, class: &str, extra_fields: &str) -> String {
         self.asked += 1;
         let id = self.asked;
-        // A read waits for a replica for as long as its time lets it.
+        // A read may wait for a replica until its deadline.
         let wait = if class == "recent" { 900 } else { 4_900 };
         self.client.ask(&format!(
-            "SELECT doc FROM items WHERE id = '7f3a' /* id={id:016x},c={class},t=acme,d={wait},cluster=3{more} */"
+            "SELECT doc FROM items WHERE id = '7f3a' /* id={id:016x},c={class},t=acme,d={wait},cluster=3{extra_fields} */"
         ));
         let reply = self.client.reply();
-        reply
-            .value
-            .unwrap_or_else(|| panic!("{class} {more}: {:?} {:?}", reply.code, reply.detail))
+        reply.value.unwrap_or_else(|| {
+            panic!(
+                "{class} {extra_fields}: {:?} {:?}",
+                reply.code, reply.detail
+            )
+        })
     }
 
     fn write(&mut self) {
         assert_eq!(self.ask("book", ""), "primary");
     }
 
-    /// Both servers have told who they are and where.
-    fn meet(&mut self) {
+    /// Sends requests until both servers have reported their roles and positions.
+    fn learn_roles(&mut self) {
         let of_replica = (0..100)
             .filter(|_| self.ask("any", "") == "replica")
             .take(3)
             .count();
         assert_eq!(
             of_replica, 3,
-            "reads that may go anywhere spare the primary"
+            "reads without freshness needs must reach the replica"
         );
         self.write();
     }
 
-    /// So many reads of a class in a row, and those that the replica had.
-    fn replica_had(&mut self, reads: u32, class: &str, more: impl Fn() -> String) -> u32 {
+    /// Sends `reads` reads of a class one after the other; returns how many the replica served.
+    fn count_replica_reads(
+        &mut self,
+        reads: u32,
+        class: &str,
+        extra_fields: impl Fn() -> String,
+    ) -> u32 {
         (0..reads)
-            .map(|_| u32::from(self.ask(class, &more()) == "replica"))
+            .map(|_| u32::from(self.ask(class, &extra_fields()) == "replica"))
             .sum()
     }
 }
 
-/// A session's read sees its write although the clock is behind, or ahead, of the one that positions are told by.
+/// A session's read sees its write although the proxy's clock is behind or ahead of the clock of the reported positions.
 #[test]
 fn a_session_read_sees_its_write_whatever_the_clock_says() {
     for start in [-5_000, -2_000, 2_000, HOUR_MS, -HOUR_MS] {
-        let clock = off(start);
-        // Behind the write below, and not far ahead of a clock that is 5 s behind.
-        let mut scene = Scene::new(&clock, 0, 4_500, SETTINGS);
-        scene.meet();
+        let clock = clock_offset(start);
+        // The replica's position is behind the write below, and only slightly ahead of a clock that is 5 s behind.
+        let mut pair = ReplicatedPair::new(&clock, 0, 4_500, SETTINGS);
+        pair.learn_roles();
         let after = || format!(",after={}", true_ms() - 1_000);
         assert_eq!(
-            scene.replica_had(8, "own", after),
+            pair.count_replica_reads(8, "own", after),
             0,
             "a clock off by {start} ms at the start"
         );
     }
 }
 
-/// Nor is a replica that holds the write lost to such reads, once its word on the time is believed.
+/// A replica that has the write serves reads after it, once its reported position is accepted.
 #[test]
 fn a_replica_that_holds_the_write_serves_it_whatever_the_clock_says() {
     for start in [-5_000, -HOUR_MS, 2_000, HOUR_MS] {
-        let clock = off(start);
-        let mut scene = Scene::new(&clock, 0, 20, SETTINGS);
-        scene.meet();
+        let clock = clock_offset(start);
+        let mut pair = ReplicatedPair::new(&clock, 0, 20, SETTINGS);
+        pair.learn_roles();
         let after = || format!(",after={}", true_ms() - 1_000);
         assert!(
-            scene.replica_had(10, "own", after) > 4,
+            pair.count_replica_reads(10, "own", after) > 4,
             "a clock off by {start} ms at the start"
         );
     }
 }
 
-/// Where the proxy remembers commits itself, one that lies ahead of its clock counts all the same.
+/// Where the proxy itself tracks the commits of sessions, a commit ahead of its clock is still respected.
 #[test]
 fn a_remembered_commit_ahead_of_the_clock_binds_its_session() {
     let settings = SETTINGS.replace(r#""TokenMode": "client""#, r#""TokenMode": "router""#);
-    let clock = off(-5_000);
-    let mut scene = Scene::new(&clock, 0, 4_500, &settings);
-    // With a write, whose commit is among the first words that lie ahead.
-    scene.meet();
-    assert_eq!(scene.replica_had(8, "own", String::new), 0);
+    let clock = clock_offset(-5_000);
+    let mut pair = ReplicatedPair::new(&clock, 0, 4_500, &settings);
+    // This includes a write, whose commit is among the first positions ahead of the clock.
+    pair.learn_roles();
+    assert_eq!(pair.count_replica_reads(8, "own", String::new), 0);
 }
 
-/// Data is no older than its bound although the clock is behind by about as much as the replica.
+/// The staleness bound holds although the clock is behind by about as much as the replica.
 #[test]
 fn a_bound_on_the_age_of_data_holds_by_a_clock_that_is_behind() {
     for (start, lag) in [(-5_000, 4_500), (-2_000, 1_600), (-HOUR_MS, 4_500)] {
-        let clock = off(start);
-        let mut scene = Scene::new(&clock, 0, lag, SETTINGS);
-        scene.meet();
-        let reads = scene.replica_had(8, "recent", String::new);
+        let clock = clock_offset(start);
+        let mut pair = ReplicatedPair::new(&clock, 0, lag, SETTINGS);
+        pair.learn_roles();
+        let reads = pair.count_replica_reads(8, "recent", String::new);
         assert_eq!(
             reads, 0,
             "a clock off by {start} ms and a replica {lag} ms behind"
@@ -538,99 +557,102 @@
     }
 }
 
-/// By a clock that is ahead all data looks too old: such reads are the primary's, and none is refused.
+/// By a clock that is ahead, all replica data looks too old. The primary serves such reads, and none is rejected.
 #[test]
 fn a_bounded_read_is_served_by_a_clock_that_is_ahead() {
     for start in [2_000, HOUR_MS] {
-        let clock = off(start);
-        let mut scene = Scene::new(&clock, 0, 4_500, SETTINGS);
-        scene.meet();
+        let clock = clock_offset(start);
+        let mut pair = ReplicatedPair::new(&clock, 0, 4_500, SETTINGS);
+        pair.learn_roles();
         assert_eq!(
-            scene.replica_had(10, "recent", String::new),
+            pair.count_replica_reads(10, "recent", String::new),
             0,
             "a clock off by {start} ms"
         );
     }
 }
 
-/// The system's clock is stepped between a read's arrival and its retry. Two readings of the time disagree, and the
-/// stricter counts: the primary gets it. Its answers show that the clock which was read at the start is right, and
+/// The system clock is stepped forward between a read's arrival and its retry. The two readings of the clock disagree and the
+/// stricter one is used, so the primary gets the retry. The primary's reports then confirm the clock read at the start, and
 /// the replica serves again.
 #[test]
 fn a_step_between_arrival_and_retry_is_heeded_until_it_is_refuted() {
     for step in [2_000, HOUR_MS] {
-        let clock = off(0);
-        let mut scene = Scene::new(&clock, step, 20, SETTINGS);
-        scene.meet();
+        let clock = clock_offset(0);
+        let mut pair = ReplicatedPair::new(&clock, step, 20, SETTINGS);
+        pair.learn_roles();
         assert!(
-            (0..50).any(|_| scene.ask("recent", "") == "replica"),
-            "the replica is fresh enough"
+            (0..50).any(|_| pair.ask("recent", "") == "replica"),
+            "the replica must serve before the step"
         );
-        scene.replica.breaks.store(true, Ordering::SeqCst);
-        let begun = Instant::now();
-        let mut by = scene.ask("recent", "");
-        while scene.replica.breaks.load(Ordering::SeqCst) {
-            assert!(begun.elapsed() < PATIENCE, "the replica gets none");
-            by = scene.ask("recent", "");
+        pair.replica.reset_next_query.store(true, Ordering::SeqCst);
+        let started_at = Instant::now();
+        let mut by = pair.ask("recent", "");
+        while pair.replica.reset_next_query.load(Ordering::SeqCst) {
+            assert!(
+                started_at.elapsed() < TEST_TIMEOUT,
+                "the replica gets no read"
+            );
+            by = pair.ask("recent", "");
         }
         assert_eq!(by, "primary", "a step of {step} ms");
-        while scene.ask("recent", "") != "replica" {
+        while pair.ask("recent", "") != "replica" {
             assert!(
-                begun.elapsed() < PATIENCE,
+                started_at.elapsed() < TEST_TIMEOUT,
                 "a step of {step} ms is not refuted"
             );
         }
     }
 }
 
-/// A step back moves nothing: the clock that was read at the start counts, and it is the stricter one.
+/// A step back has no effect: the clock read at the start stays in use, since it is the stricter one.
 #[test]
 fn a_step_back_between_arrival_and_retry_lets_no_old_data_pass() {
     for step in [-2_000, -HOUR_MS] {
-        let clock = off(0);
-        let mut scene = Scene::new(&clock, step, 20, SETTINGS);
-        scene.meet();
-        // Its data stands still for longer than a read would wait for it.
-        scene.replica.lag.store(6_000, Ordering::SeqCst);
-        scene.replica.breaks.store(true, Ordering::SeqCst);
-        // What was told before is too old after the bound.
-        let begun = Instant::now();
-        while begun.elapsed() < 600 * MS {
-            scene.ask("recent", "");
+        let clock = clock_offset(0);
+        let mut pair = ReplicatedPair::new(&clock, step, 20, SETTINGS);
+        pair.learn_roles();
+        // The replica's data lags by more than a read may wait for it.
+        pair.replica.lag.store(6_000, Ordering::SeqCst);
+        pair.replica.reset_next_query.store(true, Ordering::SeqCst);
+        // Positions that were reported before exceed the bound after this time.
+        let started_at = Instant::now();
+        while started_at.elapsed() < 600 * MS {
+            pair.ask("recent", "");
         }
         assert_eq!(
             clock.load(Ordering::SeqCst),
             step,
-            "the replica got a read and broke it off"
+            "the replica must have received a read and broken it off"
         );
         assert_eq!(
-            scene.replica_had(2, "recent", String::new),
+            pair.count_replica_reads(2, "recent", String::new),
             0,
             "a step of {step} ms"
         );
     }
 }
 
-/// A request that nobody answers ends in its time, neither sooner nor later, though the clock is stepped under it.
+/// A request without a response ends at its deadline, neither sooner nor later, although the clock is stepped meanwhile.
 #[test]
 fn a_step_moves_no_deadline() {
     for step in [2_000, -2_000, HOUR_MS, -HOUR_MS] {
-        let (clock, server) = (off(0), common::Listener::new());
-        let stage = Stage::with(&[("s-1", &server)], |config| {
-            config.wall_clock = wall(&clock)
+        let (clock, server) = (clock_offset(0), common::Listener::new());
+        let test_proxy = TestProxy::with_config(&[("s-1", &server)], |config| {
+            config.wall_clock = offset_wall_clock(&clock)
         });
-        let mut client = Peer::client(stage.address);
-        client.ask(&common::read(1, "any", 600));
-        let begun = Instant::now();
-        let mut upstream = server.welcome();
+        let mut client = Peer::client(test_proxy.address);
+        client.ask(&common::read_statement(1, "any", 600));
+        let started_at = Instant::now();
+        let mut upstream = server.accept_session();
         upstream.query();
         clock.store(step, Ordering::SeqCst);
-        // Another request makes the loop turn, and its clock is read, while the first is out.
-        let mut other = Peer::client(stage.address);
+        // Another request makes the event loop read the clock while the first is in flight.
+        let mut other = Peer::client(test_proxy.address);
         other.ask("SET a = 1");
         other.reply();
         assert!(client.reply().code.is_some());
-        let took = begun.elapsed();
+        let took = started_at.elapsed();
         assert!(
             took > 300 * MS && took < 2_000 * MS,
             "a step of {step} ms: {took:?}"
@@ -638,21 +660,21 @@
     }
 }
 
-// ---- Spans over a step ----
+// ---- Durations across a step ----
 
 const STEPS: [i64; 4] = [2_000, -2_000, HOUR_MS, -HOUR_MS];
 
-/// Returns once so much time has gone by; what is waited for is that it has.
-fn pass(span: Duration) {
-    let begun = Instant::now();
-    while begun.elapsed() < span {
+/// Waits until `span` has elapsed; the tests that call it need the time itself to pass.
+fn busy_wait(span: Duration) {
+    let started_at = Instant::now();
+    while started_at.elapsed() < span {
         thread::yield_now();
     }
 }
 
-/// The next query that is no probe, on any connection.
+/// Accepts a session, answers its probes and returns the first other query.
 fn next_query(server: &common::Listener) -> (Peer, String) {
-    let mut peer = server.welcome();
+    let mut peer = server.accept_session();
     loop {
         match peer.query() {
             probe if probe == "SHOW load" => peer.answer("x0=1.0,x1=1,backlog=0", &[]),
@@ -661,37 +683,37 @@
     }
 }
 
-/// A keyed write whose first attempt may have run, `after` which the clock is stepped and the connection breaks.
+/// A keyed write whose first attempt may have run: `after` this span, the clock is stepped and the connection is closed.
 fn broken_keyed_write(
     window: Duration,
     after: Duration,
     step: i64,
-) -> (Stage, Peer, common::Listener) {
+) -> (TestProxy, Peer, common::Listener) {
     let keyed = format!(
         r#""Effect": "keyed", "Group": "all", "Window": {}"#,
         window.as_micros()
     );
     let settings = SETTINGS.replace(r#""Effect": "unsafe""#, &keyed);
-    let (clock, server) = (off(0), common::Listener::new());
-    let stage = Stage::with(&[("s-1", &server)], |config| {
+    let (clock, server) = (clock_offset(0), common::Listener::new());
+    let test_proxy = TestProxy::with_config(&[("s-1", &server)], |config| {
         config.platform = platform_settings::decode(settings.as_bytes()).unwrap();
-        config.wall_clock = wall(&clock);
+        config.wall_clock = offset_wall_clock(&clock);
     });
-    let mut client = Peer::client(stage.address);
+    let mut client = Peer::client(test_proxy.address);
     client.ask("INSERT INTO items (id, doc) VALUES ('7f', '\\x9f') RETURNING doc /* id=1,c=book,t=acme,d=4900,k=5c0f,cluster=3 */");
     let (upstream, query) = next_query(&server);
     assert!(query.contains(",k=5c0f"), "{query}");
-    pass(after);
+    busy_wait(after);
     clock.store(step, Ordering::SeqCst);
     drop(upstream);
-    (stage, client, server)
+    (test_proxy, client, server)
 }
 
-/// The window of a key is a span: a step forward does not end it, and a step back does not open it again.
+/// The deduplication window of a key is a duration: a step forward does not end it, and a step back does not reopen it.
 #[test]
 fn a_step_moves_no_window_of_a_key() {
     for step in STEPS {
-        let (_stage, mut client, server) =
+        let (_test_proxy, mut client, server) =
             broken_keyed_write(Duration::from_secs(4), Duration::ZERO, step);
         let (mut upstream, query) = next_query(&server);
         assert!(
@@ -700,30 +722,30 @@
         );
         upstream.answer("one", &[("role", "primary")]);
         assert_eq!(client.reply().value.as_deref(), Some("one"));
-        let (_stage, mut client, _server) = broken_keyed_write(200 * MS, 300 * MS, step);
-        // Sent again, it would be waited for until its client's time is over.
-        let begun = Instant::now();
+        let (_test_proxy, mut client, _server) = broken_keyed_write(200 * MS, 300 * MS, step);
+        // If the write were retried, it would fail only at its deadline.
+        let started_at = Instant::now();
         assert!(client.reply().code.is_some());
         assert!(
-            begun.elapsed() < 2_500 * MS,
-            "a step of {step} ms, behind the window: it is sent again"
+            started_at.elapsed() < 2_500 * MS,
+            "a step of {step} ms, after the window: the write must not be retried"
         );
     }
 }
 
-/// A watch is replaced once it has been silent for its time, not sooner, and not an hour later.
+/// A watch is replaced once nothing has arrived for the silence timeout, neither sooner nor an hour later.
 #[test]
 fn a_step_moves_no_silence_of_discovery() {
     for step in STEPS {
-        let clock = off(0);
-        let stage = Stage::with(&[], |config| {
+        let clock = clock_offset(0);
+        let test_proxy = TestProxy::with_config(&[], |config| {
             config.max_watch_silence = 400 * MS;
-            config.wall_clock = wall(&clock);
+            config.wall_clock = offset_wall_clock(&clock);
         });
-        let begun = Instant::now();
+        let started_at = Instant::now();
         clock.store(step, Ordering::SeqCst);
-        stage.discovery.accept().watch();
-        let took = begun.elapsed();
+        test_proxy.discovery.accept().accept_watch();
+        let took = started_at.elapsed();
         assert!(
             took > 200 * MS && took < 2_000 * MS,
             "a step of {step} ms: after {took:?}"
@@ -731,21 +753,21 @@
     }
 }
 
-/// A pooled connection is closed once it has been idle for its time.
+/// A pooled connection is closed after its idle timeout.
 #[test]
 fn a_step_moves_no_idle_time() {
     for step in STEPS {
-        let (clock, server) = (off(0), common::Listener::new());
-        let stage = Stage::with(&[("s-1", &server)], |config| {
+        let (clock, server) = (clock_offset(0), common::Listener::new());
+        let test_proxy = TestProxy::with_config(&[("s-1", &server)], |config| {
             config.upstream_idle_timeout = 400 * MS;
-            config.wall_clock = wall(&clock);
+            config.wall_clock = offset_wall_clock(&clock);
         });
-        let mut client = Peer::client(stage.address);
-        let mut upstream = common::served(&mut client, &server, 1, "one");
-        let begun = Instant::now();
+        let mut client = Peer::client(test_proxy.address);
+        let mut upstream = common::serve_request(&mut client, &server, 1, "one");
+        let started_at = Instant::now();
         clock.store(step, Ordering::SeqCst);
         assert!(upstream.ended());
-        let took = begun.elapsed();
+        let took = started_at.elapsed();
         assert!(
             took > 200 * MS && took < 2_000 * MS,
             "a step of {step} ms: after {took:?}"
