--- a/crates/leverproxy/tests/balancers.rs
+++ b/crates/leverproxy/tests/balancers.rs
@@ -229,7 +229,7 @@
     let operators = format!("health a {{\n protocol agent\n address {port}\n connections 2\n}}\n");
     let mut program = Program::with_operators_file("ulimit -n 32;", &operators);
     let crowd: Vec<Peer> = (0..60).map(|_| Peer::connect(program.address)).collect();
-    program.wait_for_log_line("no descriptor left");
+    program.wait_for_log_line("no file descriptor left");
     for _ in 0..10 {
         let line = agent_check(port);
         assert!(line.starts_with("ready up"), "{line}");
--- a/crates/leverproxy/tests/end_to_end.rs
+++ b/crates/leverproxy/tests/end_to_end.rs
@@ -710,7 +710,7 @@
 fn the_program_recovers_from_running_out_of_descriptors() {
     let mut program = Program::start("ulimit -n 24;");
     let mut crowd: Vec<Peer> = (0..30).map(|_| Peer::connect(program.address)).collect();
-    program.wait_for_log_line("no descriptor left");
+    program.wait_for_log_line("no file descriptor left");
     crowd.clear();
     Peer::client(program.address);
     program.signal(Signal::TERM);
